--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -63,15 +63,21 @@
         net.kill(n // 2)
         began = net.now
         gone = f"n{n // 2}"
-        net.until(lambda net=net, gone=gone: all(  # type: ignore[misc]
-            gone not in core.view.members for core in net.cores.values()), 120.0)
+        net.until(
+            lambda net=net, gone=gone: all(  # type: ignore[misc]
+                gone not in core.view.members for core in net.cores.values()
+            ),
+            120.0,
+        )
         times = [at - began for at, _, word, name in net.told if word == "failed" and name == gone]
         first.append(min(times))
         last.append(max(times))
         refuted += len({name for _, _, word, name in net.told if word == "failed" and name != gone})
-    return (f"{n:5} members, {loss:3.0%} loss: failed for the first after {statistics.median(first):4.1f} s, "
-            f"for all after {statistics.median(last):4.1f} s (most {max(last):4.1f}); "
-            f"{alarms + refuted} false alarms in {plays} plays of a minute")
+    return (
+        f"{n:5} members, {loss:3.0%} loss: failed for the first after {statistics.median(first):4.1f} s, "
+        f"for all after {statistics.median(last):4.1f} s (most {max(last):4.1f}); "
+        f"{alarms + refuted} false alarms in {plays} plays of a minute"
+    )
 
 
 def main() -> None:
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -1,6 +1,6 @@
 """Asks a router one query and prints what it answers.
 
-    python examples/ask.py examples/config.json lookup "SELECT n FROM ops_3.t"
+python examples/ask.py examples/config.json lookup "SELECT n FROM ops_3.t"
 """
 
 from __future__ import annotations
@@ -18,8 +18,13 @@
     """Ask over one connection, as the first tenant of the configuration."""
     told = orjson.loads(Path(path).read_bytes())
     host, port = told["listen"].split(":")
-    fields = {"txn": secrets.token_hex(8), "limit": "2000", "team": told["settings"]["orgs"][0]["name"],
-              "cpu": "80.0", "mb": "64"}
+    fields = {
+        "txn": secrets.token_hex(8),
+        "limit": "2000",
+        "team": told["settings"]["orgs"][0]["name"],
+        "cpu": "80.0",
+        "mb": "64",
+    }
     if cls == "load":
         fields |= {"unique": secrets.token_hex(16), "item": secrets.token_hex(8)}
     with socket.create_connection((host, int(port)), timeout=10) as connection:
--- a/grebeproxy/benchlink.py
+++ b/grebeproxy/benchlink.py
@@ -15,11 +15,22 @@
 from grebeproxy.settings import Fields, report_from, seconds, settings_from
 
 STATES = {"on": api.EngineState.UP, "fading": api.EngineState.DRAINING, "off": api.EngineState.GONE}
-LIST_KINDS = {"changes": api.ListKind.CHANGES, "all": api.ListKind.FULL,
-              "remembered": api.ListKind.REMEMBERED, "refused": api.ListKind.FAILED}
-OUTCOMES = {"Ok": api.Outcome.OK, "Failed": api.Outcome.ERROR, "QueueFull": api.Outcome.FULL,
-            "TimedOut": api.Outcome.TIMEOUT, "ConnectError": api.Outcome.CONNECT_FAILED,
-            "ResetByPeer": api.Outcome.RESET, "Canceled": api.Outcome.CANCELLED, "Ignored": api.Outcome.MOOT}
+LIST_KINDS = {
+    "changes": api.ListKind.CHANGES,
+    "all": api.ListKind.FULL,
+    "remembered": api.ListKind.REMEMBERED,
+    "refused": api.ListKind.FAILED,
+}
+OUTCOMES = {
+    "Ok": api.Outcome.OK,
+    "Failed": api.Outcome.ERROR,
+    "QueueFull": api.Outcome.FULL,
+    "TimedOut": api.Outcome.TIMEOUT,
+    "ConnectError": api.Outcome.CONNECT_FAILED,
+    "ResetByPeer": api.Outcome.RESET,
+    "Canceled": api.Outcome.CANCELLED,
+    "Ignored": api.Outcome.MOOT,
+}
 PROGRESS = {1: api.ProgressKind.SHARE_DONE, 2: api.ProgressKind.SPILLS_MB, 3: api.ProgressKind.WAITS}
 MEGABYTES_PER_UNIT = 4
 UNITS_PER_MS = 4096
@@ -35,48 +46,77 @@
 
 
 def _engine(entry: Fields) -> api.Engine:
-    return api.Engine(id=entry["node"], kind=entry["shape"], zone=entry.get("rackZone", ""),
-                      cell=entry.get("cell", 0), state=STATES[entry["lifecycle"]],
-                      started=seconds(entry["cameUp"]) if entry.get("cameUp") else None,
-                      weight=entry.get("scale", 1.0))
+    return api.Engine(
+        id=entry["node"],
+        kind=entry["shape"],
+        zone=entry.get("rackZone", ""),
+        cell=entry.get("cell", 0),
+        state=STATES[entry["lifecycle"]],
+        started=seconds(entry["cameUp"]) if entry.get("cameUp") else None,
+        weight=entry.get("scale", 1.0),
+    )
 
 
 def _query(line: Fields) -> api.Query:
-    return api.Query(id=line["tid"], cls=line["class"], due=seconds(line["due"]),
-                     tenant=line.get("realm") or None, key=line.get("key"), data_set=line.get("schemaNo"),
-                     work=seconds(line["cost"]) if line.get("cost") else None,
-                     memory_mb=line.get("estMemoryMb") or None, writes=bool(line.get("mutates")),
-                     resent=bool(line.get("resent")))
+    return api.Query(
+        id=line["tid"],
+        cls=line["class"],
+        due=seconds(line["due"]),
+        tenant=line.get("realm") or None,
+        key=line.get("key"),
+        data_set=line.get("schemaNo"),
+        work=seconds(line["cost"]) if line.get("cost") else None,
+        memory_mb=line.get("estMemoryMb") or None,
+        writes=bool(line.get("mutates")),
+        resent=bool(line.get("resent")),
+    )
 
 
 def _ended(line: Fields) -> api.AttemptEnded:
     billed = line.get("trueCost") or 0
     return api.AttemptEnded(
-        id=line["tid"], engine=line["node"], attempt=line["attempt"], outcome=OUTCOMES[line["stateCode"]],
-        latency=seconds(line.get("latency")), settled=bool(line.get("settled")),
+        id=line["tid"],
+        engine=line["node"],
+        attempt=line["attempt"],
+        outcome=OUTCOMES[line["stateCode"]],
+        latency=seconds(line.get("latency")),
+        settled=bool(line.get("settled")),
         work=seconds(billed // UNITS_PER_MS) if billed else None,
         memory_mb=float(billed % UNITS_PER_MS * MEGABYTES_PER_UNIT) if billed else None,
-        report=report_from(line.get("healthInfo")))
+        report=report_from(line.get("healthInfo")),
+    )
 
 
 EVENTS: dict[str, Callable[[Fields], api.Event | None]] = {
     "Arrival": _query,
     "Completed": _ended,
     "Hangup": lambda line: api.Gone(line["tid"]),
-    "Started": lambda line: api.AttemptStarted(line["tid"], line["node"], line["attempt"],
-                                               seconds(line["latency"])),
-    "Change": lambda line: api.Progress(line["tid"], line["node"], line["attempt"], PROGRESS[line["topic"]],
-                                        line["value"]) if line["topic"] in PROGRESS else None,
-    "CheckResult": lambda line: api.Probed(line["node"], seconds(line["latency"]),
-                                           OUTCOMES[line["stateCode"]], report_from(line.get("healthInfo"))),
+    "Started": lambda line: api.AttemptStarted(
+        line["tid"], line["node"], line["attempt"], seconds(line["latency"])
+    ),
+    "Change": lambda line: api.Progress(
+        line["tid"], line["node"], line["attempt"], PROGRESS[line["topic"]], line["value"]
+    )
+    if line["topic"] in PROGRESS
+    else None,
+    "CheckResult": lambda line: api.Probed(
+        line["node"],
+        seconds(line["latency"]),
+        OUTCOMES[line["stateCode"]],
+        report_from(line.get("healthInfo")),
+    ),
     "NoteFrom": lambda line: api.PeerMessage(line["neighbour"], line["content"]),
     "Ring": lambda line: api.TimerFired(line["mark"]),
 }
 
 
 def _terms(action: api.SetTerms) -> Fields:
-    return {"msg": "SetTerms", "tid": action.id, "importance": action.priority,
-            "allotMb": round(action.memory_mb) if action.memory_mb else 0}
+    return {
+        "msg": "SetTerms",
+        "tid": action.id,
+        "importance": action.priority,
+        "allotMb": round(action.memory_mb) if action.memory_mb else 0,
+    }
 
 
 def _refuse(action: api.Refuse) -> Fields:
--- a/grebeproxy/config.py
+++ b/grebeproxy/config.py
@@ -15,7 +15,7 @@
 
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192.0
-MOST_DESCRIPTOR = 2 ** 20
+MOST_DESCRIPTOR = 2**20
 
 
 class ConfigError(Exception):
@@ -59,8 +59,11 @@
         raise ConfigError(f"BALANCER_CONFIG: {path}: {error}") from None
     if not isinstance(told, dict):
         raise ConfigError(f"BALANCER_CONFIG: {path}: must hold an object")
-    for key, variable in (("name", "BALANCER_NAME"), ("listen", "BALANCER_LISTEN"),
-                          ("admin", "BALANCER_ADMIN")):
+    for key, variable in (
+        ("name", "BALANCER_NAME"),
+        ("listen", "BALANCER_LISTEN"),
+        ("admin", "BALANCER_ADMIN"),
+    ):
         if environ.get(variable):
             told[key] = environ[variable]
     folder = Path(environ["TMPDIR"]) if environ.get("TMPDIR") else None
@@ -88,10 +91,19 @@
         raise ConfigError(f"settings.{error.args[0]}: missing or not known") from None
     except (AttributeError, IndexError, TypeError, ValueError) as error:
         raise ConfigError(f"settings.{error}") from None
-    return Config(name=str(told.get("name", "grebeproxy")), listen=_address(told, "listen"),
-                  changelog=_address(told, "changelog"), seed=_seed(told.get("seed", "0")),
-                  sockets=sockets, memory_mb=memory_mb, known=known, settings=module, limits=wire,
-                  keys=frozenset(_paths(told)), admin=_address(told, "admin") if told.get("admin") else None)
+    return Config(
+        name=str(told.get("name", "grebeproxy")),
+        listen=_address(told, "listen"),
+        changelog=_address(told, "changelog"),
+        seed=_seed(told.get("seed", "0")),
+        sockets=sockets,
+        memory_mb=memory_mb,
+        known=known,
+        settings=module,
+        limits=wire,
+        keys=frozenset(_paths(told)),
+        admin=_address(told, "admin") if told.get("admin") else None,
+    )
 
 
 def _paths(told: Mapping[str, Any], above: str = "") -> Iterator[str]:
--- a/grebeproxy/membership/lease.py
+++ b/grebeproxy/membership/lease.py
@@ -25,7 +25,7 @@
 RENEW = 0.3  # part of the length after which the votes are asked for anew
 AGAIN = 0.1  # the same after which they are asked for where a majority did not answer
 MOST_LEASES = 64
-MOST_BALLOT = 2 ** 53
+MOST_BALLOT = 2**53
 
 Token = tuple[int, str]  # ballot and holder: no two holders have the same one
 
@@ -304,7 +304,8 @@
         if self.now < self._votes_from or full or not (free or renews):
             return replace(vote, word=Word.DENY, ballot=kept.ballot)
         self._promises[vote.lease] = Promise(
-            vote.ballot, event.sender, event.instance, self.now + self.length)
+            vote.ballot, event.sender, event.instance, self.now + self.length
+        )
         return replace(vote, word=Word.GRANT)
 
 
--- a/grebeproxy/membership/swim.py
+++ b/grebeproxy/membership/swim.py
@@ -17,8 +17,25 @@
 from typing import Any
 
 from grebeproxy.membership.model import (
-    Address, Changed, Condition, Config, Displaced, Effect, Event, Fact, Heard, Kind, LeaveAsked, Message,
-    Say, State, Told, View, Wake, Woken)
+    Address,
+    Changed,
+    Condition,
+    Config,
+    Displaced,
+    Effect,
+    Event,
+    Fact,
+    Heard,
+    Kind,
+    LeaveAsked,
+    Message,
+    Say,
+    State,
+    Told,
+    View,
+    Wake,
+    Woken,
+)
 from grebeproxy.membership.rumours import Rumours
 from grebeproxy.membership.suspicion import DISTRUST, Health, Suspicion, shortest
 
@@ -95,8 +112,11 @@
             _, _, call, args = heappop(self._timers)
             call(*args)
         self._look()
-        if self._timers and not (self.displaced or self.left) and (
-                self._wake_at is None or self._timers[0][0] < self._wake_at):
+        if (
+            self._timers
+            and not (self.displaced or self.left)
+            and (self._wake_at is None or self._timers[0][0] < self._wake_at)
+        ):
             self._wake_at = self._timers[0][0]
             self._effects.append(Wake(self._wake_at))
         return self._effects
@@ -115,8 +135,16 @@
         self._effects.append(Told("stood still", self.config.name))
         self._at(now, self._sync)
 
-    def _say(self, kind: Kind, to: Address, *, number: int = 0, target: str = "", digest: int = 0,
-             facts: tuple[Fact, ...] | None = None) -> None:
+    def _say(
+        self,
+        kind: Kind,
+        to: Address,
+        *,
+        number: int = 0,
+        target: str = "",
+        digest: int = 0,
+        facts: tuple[Fact, ...] | None = None,
+    ) -> None:
         if facts is None:
             facts = self._rumours.take(FACTS, len(self.facts))
         self._effects.append(Say(to, Message(kind, self.me, number, target, digest, facts)))
@@ -213,7 +241,7 @@
     def _tell_all(self, to: Address) -> None:
         known = [fact for fact in self.facts.values() if fact.name != self.config.name]
         for start in range(0, len(known), FACTS):
-            self._say(Kind.GOSSIP, to, facts=tuple(known[start:start + FACTS]))
+            self._say(Kind.GOSSIP, to, facts=tuple(known[start : start + FACTS]))
 
     def _digest(self) -> int:
         """Of all that are held to be there; the same facts give the same number."""
@@ -227,8 +255,9 @@
     # --- probes
 
     def _others(self) -> list[Fact]:
-        return [fact for fact in self.facts.values()
-                if fact.name != self.config.name and fact.state < State.DEAD]
+        return [
+            fact for fact in self.facts.values() if fact.name != self.config.name and fact.state < State.DEAD
+        ]
 
     def _next_probe(self) -> None:
         period = self.config.period * self.health.stretch
@@ -355,8 +384,9 @@
         """Tell of a new view, where members or condition are not what they were."""
         if self._stale:  # of a thousand members each message would cost a pass over all
             self._stale = False
-            self._members = tuple(sorted(
-                fact.name for fact in self.facts.values() if fact.state < State.DEAD))
+            self._members = tuple(
+                sorted(fact.name for fact in self.facts.values() if fact.state < State.DEAD)
+            )
             self._sound = sum(fact.state is State.ALIVE for fact in self.facts.values())
         fleet, members, sound = self.config.fleet, self._members, self._sound
         suspected = sound < len(members)
--- a/grebeproxy/membership/wire.py
+++ b/grebeproxy/membership/wire.py
@@ -21,7 +21,7 @@
 VERSION, OLDEST = 2, 1
 MOST_BYTES = 1200  # of a packet, so that it crosses any network whole
 DIGEST = 16
-MOST_NUMBER = 2 ** 64 - 1
+MOST_NUMBER = 2**64 - 1
 MOST_NAME, MOST_HOST, MOST_FACTS = 32, 64, 16
 WINDOW = 1024  # packets by which one may be late
 MOST_SENDERS = 4096  # processes whose packets are counted; the latest heard stay
@@ -51,10 +51,10 @@
         """The payload of a packet that nobody else has made, and that comes for the first time."""
         if len(packet) > MOST_BYTES or len(packet) <= 1 + DIGEST:
             raise WireError("of a length that cannot be")
-        version, body = packet[0], packet[1 + DIGEST:]
+        version, body = packet[0], packet[1 + DIGEST :]
         if version < OLDEST:
             raise WireError(f"of version {version}")
-        if not compare_digest(packet[1:1 + DIGEST], self._digest(version, body)):
+        if not compare_digest(packet[1 : 1 + DIGEST], self._digest(version, body)):
             raise WireError("made with another key")
         try:
             told: list[Any] = msgpack.unpackb(body)
@@ -104,8 +104,14 @@
 
 def packed(message: Message) -> list[object]:
     """A message as what MessagePack can write."""
-    return [int(message.kind), _packed_fact(message.sender), message.number, message.target, message.digest,
-            [_packed_fact(fact) for fact in message.facts]]
+    return [
+        int(message.kind),
+        _packed_fact(message.sender),
+        message.number,
+        message.target,
+        message.digest,
+        [_packed_fact(fact) for fact in message.facts],
+    ]
 
 
 def unpacked(payload: object) -> Message:
@@ -114,8 +120,14 @@
         kind, sender, number, target, digest, facts = payload[:6]  # type: ignore[index]
         if len(facts) > MOST_FACTS or not _natural(number) or not _natural(digest):
             raise WireError("not understood")
-        return Message(Kind(kind), _fact(sender), number, _name(target, empty=True), digest,
-                       tuple(_fact(fact) for fact in facts))
+        return Message(
+            Kind(kind),
+            _fact(sender),
+            number,
+            _name(target, empty=True),
+            digest,
+            tuple(_fact(fact) for fact in facts),
+        )
     except (ValueError, TypeError, KeyError, AttributeError):
         raise WireError("not understood") from None
 
--- a/grebeproxy/net/admission.py
+++ b/grebeproxy/net/admission.py
@@ -70,16 +70,20 @@
     free = [client for client in clients.values() if not client.requests]
     if not free:
         return None
-    return min(free, key=lambda client: (
-        client.parted is None, client.asked and client.begun is None, client.quiet)).conn
+    return min(
+        free, key=lambda client: (client.parted is None, client.asked and client.begun is None, client.quiet)
+    ).conn
 
 
 def too_silent(clients: dict[int, Client[R]], now: float) -> list[int]:
     """Connections no longer waited for: they never asked, stopped in a message, or were left idle."""
-    return [client.conn for client in clients.values()
-            if (client.begun is not None and now - client.begun >= NEVER_ASKED)
-            or (client.parted is not None and now - client.parted >= LINGER)
-            or (not client.requests and now - client.quiet >= (IDLE if client.asked else NEVER_ASKED))]
+    return [
+        client.conn
+        for client in clients.values()
+        if (client.begun is not None and now - client.begun >= NEVER_ASKED)
+        or (client.parted is not None and now - client.parted >= LINGER)
+        or (not client.requests and now - client.quiet >= (IDLE if client.asked else NEVER_ASKED))
+    ]
 
 
 def to_part(clients: dict[int, Client[R]]) -> list[Client[R]]:
@@ -87,5 +91,8 @@
 
     Guards what a client has sent and is not read yet: its first request is waited for.
     """
-    return [client for client in clients.values() if client.asked and not client.requests
-            and client.begun is None and client.parted is None]
+    return [
+        client
+        for client in clients.values()
+        if client.asked and not client.requests and client.begun is None and client.parted is None
+    ]
--- a/grebeproxy/net/changelog.py
+++ b/grebeproxy/net/changelog.py
@@ -52,8 +52,8 @@
                 raise BadFrameError(f"change log: a frame of kind {kind} and length {length}")
             if len(self._buffer) < 4 + length:
                 return
-            records = bytes(self._buffer[HEAD.size:4 + length])
-            del self._buffer[:4 + length]
+            records = bytes(self._buffer[HEAD.size : 4 + length])
+            del self._buffer[: 4 + length]
             yield News(seq) if kind == NOTHING else self._news(seq, kind, records)
 
     def _news(self, seq: int, kind: int, records: bytes) -> News:
@@ -63,9 +63,17 @@
                 raise BadFrameError("change log: a record with a state, zone or kind that is not known")
             engine = f"s-{number:08x}"
             addresses[engine] = (socket.inet_ntoa(host.to_bytes(4, "big")), port)
-            engines.append(Engine(
-                engine, self._kinds[shape].name, self._zones[zone], cell, STATES[state],
-                self._clock(started) if started else None, weight / 1000))
+            engines.append(
+                Engine(
+                    engine,
+                    self._kinds[shape].name,
+                    self._zones[zone],
+                    cell,
+                    STATES[state],
+                    self._clock(started) if started else None,
+                    weight / 1000,
+                )
+            )
         how = ListKind.FULL if kind == WHOLE else ListKind.CHANGES
         return News(seq, EngineList(how, tuple(engines), seq), addresses)
 
@@ -78,10 +86,17 @@
         for entry in fleet["endpoints"]:
             addresses[entry["name"]] = host_and_port(entry["address"])
             started = int(entry.get("since_ms") or 0)
-            engines.append(Engine(
-                entry["name"], entry["type"], entry["zone"], int(entry.get("group", 0)),
-                STATE_NAMES[entry["status"]], clock(started) if started else None,
-                float(entry.get("weight", 1.0))))
+            engines.append(
+                Engine(
+                    entry["name"],
+                    entry["type"],
+                    entry["zone"],
+                    int(entry.get("group", 0)),
+                    STATE_NAMES[entry["status"]],
+                    clock(started) if started else None,
+                    float(entry.get("weight", 1.0)),
+                )
+            )
         whole = fleet.get("snapshot") or not position  # the first event holds the full list
         how = ListKind.FULL if whole else ListKind.CHANGES
         yield News(seq, EngineList(how, tuple(engines), seq), addresses)
--- a/grebeproxy/net/door.py
+++ b/grebeproxy/net/door.py
@@ -5,7 +5,15 @@
 from collections.abc import Callable, Iterator
 
 from grebeproxy.net.messages import (
-    Active, BadFrameError, DoorCall, Standby, Status, TakeBack, TakeOut, Unknown)
+    Active,
+    BadFrameError,
+    DoorCall,
+    Standby,
+    Status,
+    TakeBack,
+    TakeOut,
+    Unknown,
+)
 
 MOST_BYTES = 256
 PLAIN: dict[str, DoorCall] = {"status": Status(), "standby": Standby(), "active": Active()}
--- a/grebeproxy/net/events.py
+++ b/grebeproxy/net/events.py
@@ -162,8 +162,19 @@
 LinkEvent = Union[LinkOpened, LinkClosed, LinkPaused, LinkResumed, LinkSaid, LinkBegun]
 DoorEvent = Union[DoorOpened, DoorSaid, DoorClosed]
 LogEvent = Union[LogOpened, LogSaid, LogClosed]
-Event = Union[ClientOpened, ClientBegun, ClientSaid, ClientClosed, LinkEvent, LogEvent, DoorEvent, HandsRead,
-              Woken, Reloaded, StopAsked]
+Event = Union[
+    ClientOpened,
+    ClientBegun,
+    ClientSaid,
+    ClientClosed,
+    LinkEvent,
+    LogEvent,
+    DoorEvent,
+    HandsRead,
+    Woken,
+    Reloaded,
+    StopAsked,
+]
 
 
 # --- effects
@@ -278,5 +289,20 @@
     """All is answered: end the program once what was written is sent."""
 
 
-Effect = Union[Answer, CloseClient, PartClient, AnswerDoor, CloseDoor, SaveHands, OpenLink, Write, CloseLink,
-               OpenLog, Wake, Note, StartListening, StopListening, Exit]
+Effect = Union[
+    Answer,
+    CloseClient,
+    PartClient,
+    AnswerDoor,
+    CloseDoor,
+    SaveHands,
+    OpenLink,
+    Write,
+    CloseLink,
+    OpenLog,
+    Wake,
+    Note,
+    StartListening,
+    StopListening,
+    Exit,
+]
--- a/grebeproxy/net/listener.py
+++ b/grebeproxy/net/listener.py
@@ -40,8 +40,14 @@
 class Listener:
     """Takes connections from a socket; ``short`` is told why none can be taken."""
 
-    def __init__(self, listener: socket.socket, made: Callable[[], asyncio.Protocol],
-                 short: Callable[[str], None], *, shared: bool = False) -> None:
+    def __init__(
+        self,
+        listener: socket.socket,
+        made: Callable[[], asyncio.Protocol],
+        short: Callable[[str], None],
+        *,
+        shared: bool = False,
+    ) -> None:
         listener.setblocking(False)
         self._socket: socket.socket | None = listener
         self._made, self._short, self._shared = made, short, shared
--- a/grebeproxy/net/msgpack_rpc.py
+++ b/grebeproxy/net/msgpack_rpc.py
@@ -10,7 +10,18 @@
 import msgpack
 
 from grebeproxy.net.messages import (
-    BadFrameError, Call, Failed, FromClient, GiveUp, Invalid, Ping, Pong, Refused, Served, ToClient)
+    BadFrameError,
+    Call,
+    Failed,
+    FromClient,
+    GiveUp,
+    Invalid,
+    Ping,
+    Pong,
+    Refused,
+    Served,
+    ToClient,
+)
 from grebeproxy.policy.interface import Effect, Settings
 from grebeproxy.shapes.scanner import table_group
 
@@ -18,11 +29,41 @@
 MOST_BYTES, MOST_ITEMS = 64 * 1024, 64  # of one message: a statement and a few fields
 TOPS = (0x93, 0x94)  # an array of three or four
 # From 0xc0 on: bytes of the header or of all, how many of them tell a length, and values for each it tells.
-HEADERS = ((1, 0, 0), (0, 0, 0), (1, 0, 0), (1, 0, 0), (2, 1, 0), (3, 2, 0), (5, 4, 0), (0, 0, 0), (0, 0, 0),
-           (0, 0, 0), (5, 0, 0), (9, 0, 0), (2, 0, 0), (3, 0, 0), (5, 0, 0), (9, 0, 0), (2, 0, 0), (3, 0, 0),
-           (5, 0, 0), (9, 0, 0), (0, 0, 0), (0, 0, 0), (0, 0, 0), (0, 0, 0), (0, 0, 0), (2, 1, 0), (3, 2, 0),
-           (5, 4, 0), (3, 2, 1), (5, 4, 1), (3, 2, 2), (5, 4, 2))
-MOST_MS, MOST_ID = 3_600_000.0, 2 ** 32 - 1
+HEADERS = (
+    (1, 0, 0),
+    (0, 0, 0),
+    (1, 0, 0),
+    (1, 0, 0),
+    (2, 1, 0),
+    (3, 2, 0),
+    (5, 4, 0),
+    (0, 0, 0),
+    (0, 0, 0),
+    (0, 0, 0),
+    (5, 0, 0),
+    (9, 0, 0),
+    (2, 0, 0),
+    (3, 0, 0),
+    (5, 0, 0),
+    (9, 0, 0),
+    (2, 0, 0),
+    (3, 0, 0),
+    (5, 0, 0),
+    (9, 0, 0),
+    (0, 0, 0),
+    (0, 0, 0),
+    (0, 0, 0),
+    (0, 0, 0),
+    (0, 0, 0),
+    (2, 1, 0),
+    (3, 2, 0),
+    (5, 4, 0),
+    (3, 2, 1),
+    (5, 4, 1),
+    (3, 2, 2),
+    (5, 4, 2),
+)
+MOST_MS, MOST_ID = 3_600_000.0, 2**32 - 1
 # float() alone would also take "nan", "1_0", " 1" and digits of other scripts.
 FIGURE = re.compile(r"[0-9]{1,12}(\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?")
 TXN = re.compile(r"[0-9a-fA-F]{16}")
@@ -67,7 +108,7 @@
         start = 0  # of the message that is read; what is before it goes at the end, once
         try:
             while self._whole(start):
-                whole = bytes(self._buffer[start:start + self._at])
+                whole = bytes(self._buffer[start : start + self._at])
                 start, self._at, self._left, self._items = start + self._at, 0, 1, 0
                 yield self._message(msgpack.unpackb(whole))
         except (ValueError, msgpack.UnpackException, TypeError) as error:
@@ -98,7 +139,7 @@
                     raise ValueError(f"type {first:#x} has no place in a message")
                 if at + fixed > len(buffer):
                     return False
-                told = int.from_bytes(buffer[at + 1:at + 1 + width], "big")
+                told = int.from_bytes(buffer[at + 1 : at + 1 + width], "big")
                 size, inner = (fixed, counted * told) if counted else (fixed + told, 0)
             self._items += inner
             if self._at + size > MOST_BYTES or self._items > MOST_ITEMS:
@@ -128,13 +169,19 @@
     def _call(self, msg: int, cls: str, fields: dict[Any, Any], body: bytes) -> FromClient:
         try:
             return Call(
-                msg, txn=_text(fields, "txn", TXN.fullmatch), cls=self._class(cls),
-                limit=_number(fields, "limit") / 1000, body=body,
-                tenant=self._tenant(fields), resent=_optional(fields, "second", _any) == "1",
+                msg,
+                txn=_text(fields, "txn", TXN.fullmatch),
+                cls=self._class(cls),
+                limit=_number(fields, "limit") / 1000,
+                body=body,
+                tenant=self._tenant(fields),
+                resent=_optional(fields, "second", _any) == "1",
                 token=self._token(cls, fields),
                 work=_number(fields, "cpu") / 1000 if "cpu" in fields else None,
                 memory_mb=_number(fields, "mb", self._most_mb) if "mb" in fields else None,
-                key=_optional(fields, "item", TOKEN.fullmatch), data_set=table_group(body))
+                key=_optional(fields, "item", TOKEN.fullmatch),
+                data_set=table_group(body),
+            )
         except _FieldError as error:
             return Invalid(msg, error.args[0])
 
--- a/grebeproxy/net/resp.py
+++ b/grebeproxy/net/resp.py
@@ -14,8 +14,14 @@
 MOST_WORDS = (64, 16, 1024, 6000)  # bytes of an answer's id, word, fields and page
 MOST_PAGES = 64  # above the 8 of a result
 HEAD, MOST_LINE = b"*4", 16
-WORDS = {b"ok": Word.OK, b"refused": Word.FULL, b"error": Word.ERROR, b"stale": Word.STALE,
-         b"batch": Word.PAGE, b"yes": Word.ALIVE}
+WORDS = {
+    b"ok": Word.OK,
+    b"refused": Word.FULL,
+    b"error": Word.ERROR,
+    b"stale": Word.STALE,
+    b"batch": Word.PAGE,
+    b"yes": Word.ALIVE,
+}
 
 
 def encode(command: ToEngine) -> bytes:
@@ -64,13 +70,13 @@
             if self._words is not None and len(self._words) == len(MOST_WORDS):
                 words, self._words = self._words, None
                 yield _answer(*words)
-        del self._buffer[:self._at]
+        del self._buffer[: self._at]
         self._at = 0
 
     def _read(self) -> bool:
         """Read the head of an answer or one of its words, if that is there whole."""
         end = self._buffer.find(b"\r\n", self._at, self._at + MOST_LINE)
-        line = bytes(self._buffer[self._at:end])
+        line = bytes(self._buffer[self._at : end])
         if end < 0:
             if len(self._buffer) - self._at >= MOST_LINE:
                 raise BadFrameError("engine: a line without end where a length was due")
@@ -89,9 +95,9 @@
         if len(self._buffer) < start + size + 2:
             return False
         # Guards against passing on a result that a wrong length has cut off.
-        if self._buffer[start + size:start + size + 2] != b"\r\n":
+        if self._buffer[start + size : start + size + 2] != b"\r\n":
             raise BadFrameError("engine: a length that does not fit")
-        self._words.append(bytes(self._buffer[start:start + size]))
+        self._words.append(bytes(self._buffer[start : start + size]))
         self._at = start + size + 2
         return True
 
--- a/grebeproxy/net/router/attempts.py
+++ b/grebeproxy/net/router/attempts.py
@@ -18,8 +18,14 @@
         request = self._requests.get(action.id)
         if request is None:
             return
-        attempt = Attempt(request, request.attempts, action.engine, self.now, min(action.until, request.due),
-                          by=float("inf") if action.by is None else action.by)
+        attempt = Attempt(
+            request,
+            request.attempts,
+            action.engine,
+            self.now,
+            min(action.until, request.due),
+            by=float("inf") if action.by is None else action.by,
+        )
         request.attempts += 1
         if not request.owed or request.out is not None or attempt.until <= self.now:
             # Guards the rule of one attempt at a time, whatever was decided.
--- a/grebeproxy/net/router/base.py
+++ b/grebeproxy/net/router/base.py
@@ -30,8 +30,16 @@
 class Core:
     """What all parts of the reducer share: its state, its timers and what it asks for."""
 
-    def __init__(self, settings: api.Settings, limits: WireLimits, *, changelog: Address,
-                 bounds: admission.Bounds, now: float, shared: bool) -> None:
+    def __init__(
+        self,
+        settings: api.Settings,
+        limits: WireLimits,
+        *,
+        changelog: Address,
+        bounds: admission.Bounds,
+        now: float,
+        shared: bool,
+    ) -> None:
         self.settings, self.limits, self.now = on_sockets(settings), limits, now
         self._bounds = bounds
         self._deadlines = deadlines(settings)
--- a/grebeproxy/net/router/clients.py
+++ b/grebeproxy/net/router/clients.py
@@ -58,8 +58,11 @@
             self._effects.append(Answer(client.conn, turned_away))
         elif len(client.requests) >= admission.OPEN_PER_CLIENT:
             self._fault(client, turned_away)
-        elif (self.now >= self._takes_until or len(self._requests) >= self.limits.max_open
-              or self._bodies + len(call.body) > self._bounds.bodies):
+        elif (
+            self.now >= self._takes_until
+            or len(self._requests) >= self.limits.max_open
+            or self._bodies + len(call.body) > self._bounds.bodies
+        ):
             self._effects.append(Answer(client.conn, turned_away))
         else:
             # No longer than the class's own deadline. Guards against limits of hours: what is kept for a
@@ -69,9 +72,19 @@
             self._requests[call.txn] = client.requests[call.msg] = request
             self._bodies += len(call.body)
             self._at(request.due + OVERDUE, self._overdue, call.txn, request.due)
-            self._pending.append(api.Query(
-                call.txn, call.cls, request.due, tenant=call.tenant, key=call.key, data_set=call.data_set,
-                work=call.work, memory_mb=call.memory_mb, resent=call.resent))
+            self._pending.append(
+                api.Query(
+                    call.txn,
+                    call.cls,
+                    request.due,
+                    tenant=call.tenant,
+                    key=call.key,
+                    data_set=call.data_set,
+                    work=call.work,
+                    memory_mb=call.memory_mb,
+                    resent=call.resent,
+                )
+            )
 
     def _leave(self, conn: int) -> None:
         """A client's connection has ended, and with it all that was open on it."""
--- a/grebeproxy/net/router/links.py
+++ b/grebeproxy/net/router/links.py
@@ -28,15 +28,27 @@
         self._forget(attempt.request)
 
     def _report(self, attempt: Attempt, outcome: api.Outcome, settled: bool = False) -> None:
-        self._pending.append(api.AttemptEnded(
-            attempt.request.call.txn, attempt.engine, attempt.number, outcome, self.now - attempt.sent,
-            settled=settled, report=attempt.report))
+        self._pending.append(
+            api.AttemptEnded(
+                attempt.request.call.txn,
+                attempt.engine,
+                attempt.number,
+                outcome,
+                self.now - attempt.sent,
+                settled=settled,
+                report=attempt.report,
+            )
+        )
 
     def _link_for(self, attempt: Attempt) -> Link | None:
         """A connection that has room and cannot carry a late answer for the request, else a new one."""
-        links = [link for link in self._engine_links.get(attempt.engine, ())
-                 if not link.retired and link.id not in attempt.request.spent
-                 and len(link.attempts) < self.limits.multiplex]
+        links = [
+            link
+            for link in self._engine_links.get(attempt.engine, ())
+            if not link.retired
+            and link.id not in attempt.request.spent
+            and len(link.attempts) < self.limits.multiplex
+        ]
         if links:
             return max(links, key=lambda link: (link.up and not link.paused, -link.id))
         if len(self._links) >= self._bounds.links:
@@ -79,8 +91,17 @@
         for attempt in waiting:
             attempt.written = True
             call = attempt.request.call
-            self._command(link, Run(call.txn, call.cls, attempt.until - self.now, call.body, call.token,
-                                    attempt.request.memory_mb))
+            self._command(
+                link,
+                Run(
+                    call.txn,
+                    call.cls,
+                    attempt.until - self.now,
+                    call.body,
+                    call.token,
+                    attempt.request.memory_mb,
+                ),
+            )
         link.unsent += waiting
 
     def _command(self, link: Link, *commands: ToEngine) -> None:
--- a/grebeproxy/net/router/reducer.py
+++ b/grebeproxy/net/router/reducer.py
@@ -9,9 +9,36 @@
 
 from grebeproxy.net import admission, follower
 from grebeproxy.net.events import (
-    Address, AnswerDoor, ClientBegun, ClientClosed, ClientOpened, ClientSaid, DoorClosed, DoorOpened,
-    DoorSaid, Effect, Event, Exit, HandsRead, LinkBegun, LinkClosed, LinkEvent, LinkOpened, LinkPaused,
-    LinkResumed, LinkSaid, LogClosed, LogOpened, LogSaid, Note, PartClient, Reloaded, StopAsked, Woken, Write)
+    Address,
+    AnswerDoor,
+    ClientBegun,
+    ClientClosed,
+    ClientOpened,
+    ClientSaid,
+    DoorClosed,
+    DoorOpened,
+    DoorSaid,
+    Effect,
+    Event,
+    Exit,
+    HandsRead,
+    LinkBegun,
+    LinkClosed,
+    LinkEvent,
+    LinkOpened,
+    LinkPaused,
+    LinkResumed,
+    LinkSaid,
+    LogClosed,
+    LogOpened,
+    LogSaid,
+    Note,
+    PartClient,
+    Reloaded,
+    StopAsked,
+    Woken,
+    Write,
+)
 from grebeproxy.net.messages import Failed, News, Refused
 from grebeproxy.net.router.base import on_sockets
 from grebeproxy.net.router.operating import Operating
@@ -36,9 +63,19 @@
 class Router(Operating):
     """One query router. ``decide`` makes its decision module; tests may put another in its place."""
 
-    def __init__(self, settings: api.Settings, limits: WireLimits, *, changelog: Address,
-                 bounds: admission.Bounds, seed: int, now: float, known: Iterable[News] = (),
-                 decide: Decide = Choice, shared: bool = False) -> None:
+    def __init__(
+        self,
+        settings: api.Settings,
+        limits: WireLimits,
+        *,
+        changelog: Address,
+        bounds: admission.Bounds,
+        seed: int,
+        now: float,
+        known: Iterable[News] = (),
+        decide: Decide = Choice,
+        shared: bool = False,
+    ) -> None:
         super().__init__(settings, limits, changelog=changelog, bounds=bounds, now=now, shared=shared)
         self._choice = decide(self.settings, now, seed)
         for news in known:
--- a/grebeproxy/net/runtime.py
+++ b/grebeproxy/net/runtime.py
@@ -31,9 +31,13 @@
 LOG = logging.getLogger("grebeproxy")
 MOST_UNSENT = 2 * 1024 * 1024  # per client: over 32 answers of 48,000 bytes, all a client may have open
 COMPLAINTS_APART = 1.0  # seconds between log lines on peers that cannot be understood
-SOCKET_OPTIONS = ((socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-             (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1), (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 30),
-             (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 10), (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 3))
+SOCKET_OPTIONS = (
+    (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
+    (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 30),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 10),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 3),
+)
 GC_THRESHOLDS = (20_000, 20, 50)  # few collections, each of them short: what start-up made is left out
 SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 LINGER = 0.5  # seconds in which a peer that is closed on may read what it was sent, and end its side
@@ -336,7 +340,8 @@
         self._unsaid = 0
         shared = config.listen_fd is not None
         self.bounds = admission.bounds(
-            config.sockets, config.memory_mb, shared=shared, door=config.admin is not None)
+            config.sockets, config.memory_mb, shared=shared, door=config.admin is not None
+        )
         self._wake: asyncio.TimerHandle | None = None
         self._events: list[events.Event] = []
         self._stepping = False
@@ -347,9 +352,16 @@
         # and so like another start: the module would take the engine for cold anew.
         self._unix_offset = time.time() - time.monotonic()
         self._router = router.Router(
-            config.settings, config.limits, changelog=config.changelog, bounds=self.bounds,
-            seed=config.seed, now=self.now(), decide=decide, shared=shared,
-            known=changelog.known_events(config.known, self.clock))
+            config.settings,
+            config.limits,
+            changelog=config.changelog,
+            bounds=self.bounds,
+            seed=config.seed,
+            now=self.now(),
+            decide=decide,
+            shared=shared,
+            known=changelog.known_events(config.known, self.clock),
+        )
 
     def next_number(self) -> int:
         """A number for a client's connection."""
@@ -393,8 +405,12 @@
         """Serve until asked to stop and all is answered."""
         # Bound at once, so that an address that cannot be had ends the start; heard from when it is time.
         fd = self.config.listen_fd
-        self._listener = Listener(bound(self.config.listen) if fd is None else inherited(fd),
-                                  lambda: Client(self), self.short, shared=fd is not None)
+        self._listener = Listener(
+            bound(self.config.listen) if fd is None else inherited(fd),
+            lambda: Client(self),
+            self.short,
+            shared=fd is not None,
+        )
         if self.config.admin is not None:
             self._door = Listener(bound(self.config.admin), lambda: Door(self), self.short)
             self._door.open()
@@ -541,12 +557,25 @@
         except ConfigError as error:
             self.log(f"configuration kept as it was: {error}")
             return
-        before, self.config = self.config, replace(
-            self.config, changelog=fresh.changelog, settings=fresh.settings, limits=fresh.limits,
-            known=fresh.known, keys=fresh.keys)
-        self.log("configuration read again" + (
-            "; all that differs but changelog and settings takes effect at the next start"
-            if replace(fresh, listen_fd=before.listen_fd, folder=before.folder) != self.config else ""))
+        before, self.config = (
+            self.config,
+            replace(
+                self.config,
+                changelog=fresh.changelog,
+                settings=fresh.settings,
+                limits=fresh.limits,
+                known=fresh.known,
+                keys=fresh.keys,
+            ),
+        )
+        self.log(
+            "configuration read again"
+            + (
+                "; all that differs but changelog and settings takes effect at the next start"
+                if replace(fresh, listen_fd=before.listen_fd, folder=before.folder) != self.config
+                else ""
+            )
+        )
         if before.settings != fresh.settings:
             for connection in (*self.clients.values(), self._log_link):
                 if connection is not None:
--- a/grebeproxy/peers/edge.py
+++ b/grebeproxy/peers/edge.py
@@ -29,7 +29,8 @@
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._log = structlog.wrap_logger(
-            structlog.WriteLogger(), processors=[structlog.processors.JSONRenderer()])
+            structlog.WriteLogger(), processors=[structlog.processors.JSONRenderer()]
+        )
         self._now, self._second, self._lines, self.left_out = now, 0, 0, 0
 
     def line(self, event: str, **fields: object) -> None:
@@ -143,8 +144,7 @@
 
 
 async def report(duty: Duty, token: Token) -> Token | None:
-    """Do a duty once. Gives the higher token where it was refused. Raises ``OSError`` for any other answer.
-    """
+    """Do a duty once. Gives the higher token where it was refused. Raises ``OSError`` for other answers."""
     reader, writer = await asyncio.open_connection(*duty.report)
     try:
         writer.write(f"do {duty.name} {token[0]} {token[1]}\n".encode())
--- a/grebeproxy/peers/node.py
+++ b/grebeproxy/peers/node.py
@@ -99,8 +99,9 @@
 class Node:
     """One router's part in all that routers share."""
 
-    def __init__(self, config: PeersConfig, instance: int, rng: Random, now: float,
-                 limits: Limits | None = None) -> None:
+    def __init__(
+        self, config: PeersConfig, instance: int, rng: Random, now: float, limits: Limits | None = None
+    ) -> None:
         self.config, self.instance = config, instance
         member = config.member
         self.members = membership.Membership(member, instance, rng, now)
@@ -204,8 +205,13 @@
                 case membership.Told(word, name):
                     self._line("member", what=word, name=name)
                 case membership.Changed(view):
-                    self._line("view", epoch=view.epoch, condition=view.condition.value,
-                               members=" ".join(view.members[:16]), count=len(view.members))
+                    self._line(
+                        "view",
+                        epoch=view.epoch,
+                        condition=view.condition.value,
+                        members=" ".join(view.members[:16]),
+                        count=len(view.members),
+                    )
                     self._vote(now, lease.ViewSeen(view))
                     self._copy(now, Members(tuple(n for n in view.members if n != self.config.member.name)))
                 case membership.Displaced():
@@ -262,8 +268,14 @@
     versions, whole, asks = told[:3]
     if len(versions) > MOST_ENTRIES:
         raise ValueError("too many origins")
-    return Digest(tuple((_text(origin), (_count(generation), _count(life), _count(top)))
-                        for origin, generation, life, top in versions), whole is True, asks is True)
+    return Digest(
+        tuple(
+            (_text(origin), (_count(generation), _count(life), _count(top)))
+            for origin, generation, life, top in versions
+        ),
+        whole is True,
+        asks is True,
+    )
 
 
 def _delta(told: list[Any]) -> Delta:
@@ -273,8 +285,14 @@
     for _, _, value in entries:
         if value is not None and not isinstance(value, bytes):
             raise ValueError("not a value")
-    return Delta(_text(origin), (_count(generation), _count(life)), _count(base), _count(top), float(age),
-                 tuple((_text(key), _count(number), value) for key, number, value in entries))
+    return Delta(
+        _text(origin),
+        (_count(generation), _count(life)),
+        _count(base),
+        _count(top),
+        float(age),
+        tuple((_text(key), _count(number), value) for key, number, value in entries),
+    )
 
 
 def _text(told: Any) -> str:
--- a/grebeproxy/peers/operator_file.py
+++ b/grebeproxy/peers/operator_file.py
@@ -147,8 +147,11 @@
     def _address(self, name: str, value: object) -> tuple[str, int]:
         host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
         parts = host.split(".")
-        if len(parts) != 4 or not all(part.isdecimal() and int(part) < 256 for part in parts) or not (
-                port.isdecimal() and 0 < int(port) < 65536):
+        if (
+            len(parts) != 4
+            or not all(part.isdecimal() and int(part) < 256 for part in parts)
+            or not (port.isdecimal() and 0 < int(port) < 65536)
+        ):
             raise self.fault(name, f"{value!r} is not an IPv4 address and a port")
         return host, int(port)
 
--- a/grebeproxy/policy/books.py
+++ b/grebeproxy/policy/books.py
@@ -8,7 +8,15 @@
 
 from grebeproxy.policy.dealing import agreed
 from grebeproxy.policy.interface import (
-    Action, Engine, EngineList, EngineState, Kind, ListKind, QueryClass, Settings)
+    Action,
+    Engine,
+    EngineList,
+    EngineState,
+    Kind,
+    ListKind,
+    QueryClass,
+    Settings,
+)
 from grebeproxy.policy.learned import Flow, Flows, Majority, Ratio, Share, Window
 from grebeproxy.policy.records import Job, Node
 
@@ -81,8 +89,12 @@
         ``usual`` is what work is taken for usual at first; it stands too where a class means other work now.
         """
         places = [self.rank.get(c.name) for c in order]
-        same = [place if place is not None and (self.order[place].aim, self.order[place].threads) == (
-            c.aim, c.threads) else None for place, c in zip(places, order, strict=True)]
+        same = [
+            place
+            if place is not None and (self.order[place].aim, self.order[place].threads) == (c.aim, c.threads)
+            else None
+            for place, c in zip(places, order, strict=True)
+        ]
         self.prior = usual
         self.usual = [u if at is None else self.usual[at] for at, u in zip(same, usual, strict=True)]
         self.pools = [1.0 if at is None else self.pools[at] for at in places]
@@ -166,8 +178,11 @@
 
     def shared(self, shares: dict[str, Share]) -> None:
         """Take tenants' shares; one that is as large as before goes on."""
-        kept = {name: share for name, share in self.shares.items()
-                if name in shares and shares[name].part == share.part}
+        kept = {
+            name: share
+            for name, share in self.shares.items()
+            if name in shares and shares[name].part == share.part
+        }
         self.shares = shares | kept
 
     def summed(self) -> list[Node]:
@@ -179,7 +194,7 @@
     def fade(self, now: float, kept: float, long_threads: int) -> None:
         """Let what was learned of slowness fade, and average what is out."""
         fill = self.granted / self.memory if self.memory else 0.0
-        self.fill += (1.0 - kept ** 0.25) * (fill - self.fill)
+        self.fill += (1.0 - kept**0.25) * (fill - self.fill)
         self.long_lately += (1.0 - kept) * (long_threads - self.long_lately)
         self.pools, self.surveyed = [1.0 + (p - 1.0) * kept for p in self.pools], now
         self.pool = 1.0 + (self.pool - 1.0) * kept
--- a/grebeproxy/policy/interface.py
+++ b/grebeproxy/policy/interface.py
@@ -222,8 +222,17 @@
                 raise ValueError(f"{name}: a name is given twice")
         for tenant in self.tenants:
             _not_negative(f"tenants[{tenant.name}]", tenant, "allowance", "share")
-        _not_negative("rules", self.rules, "answer_slack", "drain_grace", "cold_fraction", "ramp_time",
-                      "overload_factor", "overload_time", "settle_time")
+        _not_negative(
+            "rules",
+            self.rules,
+            "answer_slack",
+            "drain_grace",
+            "cold_fraction",
+            "ramp_time",
+            "overload_factor",
+            "overload_time",
+            "settle_time",
+        )
         budget = self.rules.attempt_budget
         if budget is not None:
             _not_negative("rules.attempt_budget", budget, "window", "floor", "share")
@@ -359,8 +368,19 @@
     name: str
 
 
-Event = Union[EngineList, ByHand, Retuned, Query, Gone, AttemptEnded, AttemptStarted, Progress, Probed,
-              PeerMessage, TimerFired]
+Event = Union[
+    EngineList,
+    ByHand,
+    Retuned,
+    Query,
+    Gone,
+    AttemptEnded,
+    AttemptStarted,
+    Progress,
+    Probed,
+    PeerMessage,
+    TimerFired,
+]
 
 
 @dataclass(frozen=True, slots=True)
--- a/grebeproxy/policy/records.py
+++ b/grebeproxy/policy/records.py
@@ -9,8 +9,16 @@
 class Job:
     """A query taken and not yet over."""
 
-    def __init__(self, query: Query, cls: QueryClass, rank: int, began: float, work: float,
-                 memory: float, draw: float = 0.0) -> None:
+    def __init__(
+        self,
+        query: Query,
+        cls: QueryClass,
+        rank: int,
+        began: float,
+        work: float,
+        memory: float,
+        draw: float = 0.0,
+    ) -> None:
         self.query, self.cls, self.rank = query, cls, rank
         self.id, self.due = query.id, query.due
         self.began = began  # when the client's first try came
--- a/grebeproxy/replica/store.py
+++ b/grebeproxy/replica/store.py
@@ -19,7 +19,7 @@
 MARK = ""  # the key that an origin changes only to show that it is there
 PER_DIGEST, DIGESTS = 16, 6  # origins in one packet, and packets in one exchange
 DELTA_BYTES = 800  # of keys and values in one packet
-MOST_TOP = 2 ** 53
+MOST_TOP = 2**53
 NOTHING = Record((-1, 0))
 
 
@@ -170,8 +170,11 @@
                 del self._buried[origin, key]
                 if origin in self.records:
                     self.records[origin].entries.pop(key, None)
-        for origin in [origin for origin, record in self.records.items()
-                       if origin != self.name and self.now - record.at >= ttl]:
+        for origin in [
+            origin
+            for origin, record in self.records.items()
+            if origin != self.name and self.now - record.at >= ttl
+        ]:
             del self.records[origin]
             self._effects.append(Changed(origin))
 
@@ -182,9 +185,9 @@
             return [Digest(tuple((origin, self.records[origin].version) for origin in origins), whole=True)]
         most = min(len(origins), PER_DIGEST * DIGESTS)
         start, self._from = self._from % len(origins), self._from + most
-        turn = (origins + origins)[start:start + most]
+        turn = (origins + origins)[start : start + most]
         chosen = [(origin, self.records[origin].version) for origin in turn]
-        return [Digest(tuple(chosen[at:at + PER_DIGEST])) for at in range(0, most, PER_DIGEST)]
+        return [Digest(tuple(chosen[at : at + PER_DIGEST])) for at in range(0, most, PER_DIGEST)]
 
     def _compare(self, sender: str, digest: Digest) -> None:
         behind = []
@@ -237,8 +240,11 @@
         told = Record(delta.life, delta.top, self.now - max(0.0, delta.age), entries)
         made = Record(held.life, held.top, held.at, dict(held.entries)) if held is not None else Record()
         made.join(told)
-        if len(made.entries) > self.limits.keys or made.size() > self.limits.record or (
-                held is None and len(self.records) >= self.limits.origins):
+        if (
+            len(made.entries) > self.limits.keys
+            or made.size() > self.limits.record
+            or (held is None and len(self.records) >= self.limits.origins)
+        ):
             self.refused += 1
             return
         before = {key: entry[1] for key, entry in held.entries.items()} if held is not None else {}
--- a/grebeproxy/settings.py
+++ b/grebeproxy/settings.py
@@ -13,11 +13,25 @@
 Fields = dict[str, Any]
 
 EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
-REPORTS = {"busy_reqs": "in_flight", "pending": "waiting", "cpu_share": "cpu", "svc_ms": "latency",
-           "served_ps": "served_rate", "failed_ps": "error_rate", "x0": "memory_granted", "x1": "disks_busy"}
+REPORTS = {
+    "busy_reqs": "in_flight",
+    "pending": "waiting",
+    "cpu_share": "cpu",
+    "svc_ms": "latency",
+    "served_ps": "served_rate",
+    "failed_ps": "error_rate",
+    "x0": "memory_granted",
+    "x1": "disks_busy",
+}
 # On sockets some of these go by shorter names.
-REPORTS |= {"inflight": "in_flight", "queue": "waiting", "util": "cpu", "latency_ms": "latency",
-            "qps": "served_rate", "eps": "error_rate"}
+REPORTS |= {
+    "inflight": "in_flight",
+    "queue": "waiting",
+    "util": "cpu",
+    "latency_ms": "latency",
+    "qps": "served_rate",
+    "eps": "error_rate",
+}
 REPORTS_IN_MS = {"svc_ms", "latency_ms"}
 
 
@@ -45,9 +59,13 @@
     names = profile["kinds"]
     cores = family.get("cpuOfKind") or [1.0] * len(names)
     memory = family.get("kindMemoryMb") or [0.0] * len(names)
-    lists = (("dop", threads, categories), ("holdsTables", loads, categories),
-             ("yieldsToLoads", waits, categories), ("cpuOfKind", cores, names),
-             ("kindMemoryMb", memory, names))
+    lists = (
+        ("dop", threads, categories),
+        ("holdsTables", loads, categories),
+        ("yieldsToLoads", waits, categories),
+        ("cpuOfKind", cores, names),
+        ("kindMemoryMb", memory, names),
+    )
     for field, values, wanted in lists:
         if len(values) != len(wanted):
             raise ValueError(f"familyInfo.{field}: {len(values)} values for {len(wanted)}")
@@ -58,50 +76,82 @@
         raise ValueError("limits.mostTries: must be a whole number")
     classes = tuple(
         api.QueryClass(
-            name=c["name"], aim=seconds(c["aim"]), deadline=seconds(c["deadline"]),
-            worth=c.get("importance", 1.0), late_share=c.get("lateShare", 0.0),
-            aim_stretch=c.get("aimStretch", 0.0), effect=EFFECTS[c["effect"]],
-            scope=api.Scope(c.get("group", "all")), repeat_window=seconds(c.get("window")),
-            in_order=bool(c.get("inTurn")), only_zones=_names(c.get("confinedTo")),
-            only_kinds=_names(c.get("servedOn")), threads=threads[i], holds_data_set=loads[i],
-            waits_for_loads=waits[i], streams=bool(c.get("stream")))
-        for i, c in enumerate(categories))
+            name=c["name"],
+            aim=seconds(c["aim"]),
+            deadline=seconds(c["deadline"]),
+            worth=c.get("importance", 1.0),
+            late_share=c.get("lateShare", 0.0),
+            aim_stretch=c.get("aimStretch", 0.0),
+            effect=EFFECTS[c["effect"]],
+            scope=api.Scope(c.get("group", "all")),
+            repeat_window=seconds(c.get("window")),
+            in_order=bool(c.get("inTurn")),
+            only_zones=_names(c.get("confinedTo")),
+            only_kinds=_names(c.get("servedOn")),
+            threads=threads[i],
+            holds_data_set=loads[i],
+            waits_for_loads=waits[i],
+            streams=bool(c.get("stream")),
+        )
+        for i, c in enumerate(categories)
+    )
     budget = None
     if "countedOver" in rules:
-        budget = api.AttemptBudget(window=seconds(rules["countedOver"]), floor=rules.get("extraFloor", 0.0),
-                                   share=rules.get("extraPerRequest", 0.0))
+        budget = api.AttemptBudget(
+            window=seconds(rules["countedOver"]),
+            floor=rules.get("extraFloor", 0.0),
+            share=rules.get("extraPerRequest", 0.0),
+        )
     asks = profile.get("registryMode") == "ask"
     return api.Settings(
         classes=classes,
         kinds=tuple(api.Kind(n, cores[i], memory[i]) for i, n in enumerate(names)),
-        balancers=profile["balancers"], index=profile["me"], zone=profile["zone"],
+        balancers=profile["balancers"],
+        index=profile["me"],
+        zone=profile["zone"],
         zones=tuple(profile["zones"]),
-        tenants=tuple(api.Tenant(o["name"], o["allowancePerS"], o.get("share", 0.0))
-                      for o in profile.get("orgs", [])),
+        tenants=tuple(
+            api.Tenant(o["name"], o["allowancePerS"], o.get("share", 0.0)) for o in profile.get("orgs", [])
+        ),
         over_share_worth=profile.get("overShareWorth", 1.0),
         rules=api.Rules(
-            answer_slack=seconds(rules.get("answerSlack")), drain_grace=seconds(rules["stopSendingWithin"]),
-            cold_fraction=rules["coldFrom"], ramp_time=seconds(rules["rampTime"]),
-            overload_factor=rules["overloadFactor"], overload_time=seconds(rules["overloadFor"]),
+            answer_slack=seconds(rules.get("answerSlack")),
+            drain_grace=seconds(rules["stopSendingWithin"]),
+            cold_fraction=rules["coldFrom"],
+            ramp_time=seconds(rules["rampTime"]),
+            overload_factor=rules["overloadFactor"],
+            overload_time=seconds(rules["overloadFor"]),
             settle_time=seconds(rules.get("keyQuiet")),
-            list_expires=seconds(rules.get("askWithin")) if asks else None, attempt_budget=budget),
+            list_expires=seconds(rules.get("askWithin")) if asks else None,
+            attempt_budget=budget,
+        ),
         prices=api.Prices(
-            cross_zone=prices.get("crossZone", 0.0), waste=prices.get("waste", 0.0),
-            probe=prices.get("probe", 0.0), late_fail=prices.get("lateFail", 0.0), peer=prices.get("peer",
-            0.0)),
-        tick=seconds(profile.get("round")), max_attempts=int(limits["mostTries"]),
+            cross_zone=prices.get("crossZone", 0.0),
+            waste=prices.get("waste", 0.0),
+            probe=prices.get("probe", 0.0),
+            late_fail=prices.get("lateFail", 0.0),
+            peer=prices.get("peer", 0.0),
+        ),
+        tick=seconds(profile.get("round")),
+        max_attempts=int(limits["mostTries"]),
         max_retry_after=seconds(limits["maxRetryAfter"]) if limits.get("retryAfter") else None,
         connect_timeout=seconds(limits["connectTimeout"]) if limits.get("connectTimeout") else None,
-        may_cancel=bool(limits.get("cancel")), may_probe=bool(limits.get("probing")),
-        may_message=bool(limits.get("mayTell")), second_copies=bool(limits.get("secondCopies")),
-        asks_for_list=asks, clients_mark_retries=bool(profile.get("clients", {}).get("marksRetry")),
-        memory_granted=bool(family.get("memoryHeeded")), largest_grant=family.get("largestShare") or 1.0,
+        may_cancel=bool(limits.get("cancel")),
+        may_probe=bool(limits.get("probing")),
+        may_message=bool(limits.get("mayTell")),
+        second_copies=bool(limits.get("secondCopies")),
+        asks_for_list=asks,
+        clients_mark_retries=bool(profile.get("clients", {}).get("marksRetry")),
+        memory_granted=bool(family.get("memoryHeeded")),
+        largest_grant=family.get("largestShare") or 1.0,
         overbooked=api.Overbooked(family.get("overbooked") or "wait"),
         priorities=bool(family.get("takesPriority")),
         progress_period=seconds(family["progress"]) if family.get("progress") else None,
         bills_work=bool(family.get("bills")),
         reports=tuple(REPORTS[c] for c in stats.get("columns", ()) if c in REPORTS)
-        if stats.get("via") != "silent" else ())
+        if stats.get("via") != "silent"
+        else (),
+    )
 
 
 def _names(values: list[str] | None) -> frozenset[str] | None:
@@ -131,4 +181,6 @@
     return WireLimits(
         connect_timeout=seconds(limits.get("connectTimeout")) or 1.0,
         idle_timeout=seconds(limits.get("connIdle")) or 30.0,
-        multiplex=max(1, int(limits.get("multiplex") or 1)), max_open=int(limits.get("maxOpen") or 10000))
+        multiplex=max(1, int(limits.get("multiplex") or 1)),
+        max_open=int(limits.get("maxOpen") or 10000),
+    )
--- a/grebeproxy/shapes/fingerprint.py
+++ b/grebeproxy/shapes/fingerprint.py
@@ -15,9 +15,26 @@
 SIGNS = (b"-", b"+")
 # After these a sign belongs to the number behind it; after a name or a value it is an operator.
 BEFORE_SIGNED = frozenset((b"(", b",", b"=", b"<", b">", b"[", b"+", b"-", b"*", b"/", b"%"))
-WORDS_BEFORE_SIGNED = frozenset((
-    b"and", b"between", b"by", b"case", b"else", b"in", b"limit", b"not", b"offset", b"or", b"return",
-    b"select", b"then", b"values", b"when", b"where"))
+WORDS_BEFORE_SIGNED = frozenset(
+    (
+        b"and",
+        b"between",
+        b"by",
+        b"case",
+        b"else",
+        b"in",
+        b"limit",
+        b"not",
+        b"offset",
+        b"or",
+        b"return",
+        b"select",
+        b"then",
+        b"values",
+        b"when",
+        b"where",
+    )
+)
 PLAIN = re.compile(rb"[a-z_][a-z0-9_$]*")  # needs no quotes
 MOST_NUMBERS = 32  # of a statement that are kept
 
--- a/grebeproxy/shapes/scanner.py
+++ b/grebeproxy/shapes/scanner.py
@@ -17,7 +17,9 @@
        | (?P<quoted> "(?:[^"]|"")*" | `(?:[^`]|``)*` )
        | (?P<name> [^\W\d][\w$]* )
        | (?P<number> \d+(?:\.\d*)?(?:[eE][+-]?\d+)?\w* )
-       | (?P<other> . )""", re.VERBOSE | re.DOTALL)
+       | (?P<other> . )""",
+    re.VERBOSE | re.DOTALL,
+)
 COMMENT_EDGE = re.compile(rb"/\*|\*/")
 SCHEMA = re.compile(rb"(.*)_(\d{1,9})", re.DOTALL)
 STAGING = b"staging"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -34,23 +34,46 @@
 hypothesis_settings.load_profile("ci")
 
 
-
 def pytest_configure(config: pytest.Config) -> None:
     config.pluginmanager.register(KnownRed())
 
 
 SHORT = QueryClass("short", aim=1.0, deadline=4.0, aim_stretch=1.5)
 LONG = QueryClass("long", aim=2.0, deadline=20.0, threads=3, worth=10.0, late_share=0.4, aim_stretch=2.5)
-LOAD = QueryClass("load", aim=3.0, deadline=20.0, threads=2, worth=10.0, late_share=0.5, aim_stretch=3.0,
-                  effect=Effect.KEYED, repeat_window=10.0, holds_data_set=True)
-RULES = Rules(answer_slack=0.02, drain_grace=1.0, cold_fraction=0.3, ramp_time=10.0, overload_factor=2.0,
-              overload_time=1.0)
+LOAD = QueryClass(
+    "load",
+    aim=3.0,
+    deadline=20.0,
+    threads=2,
+    worth=10.0,
+    late_share=0.5,
+    aim_stretch=3.0,
+    effect=Effect.KEYED,
+    repeat_window=10.0,
+    holds_data_set=True,
+)
+RULES = Rules(
+    answer_slack=0.02,
+    drain_grace=1.0,
+    cold_fraction=0.3,
+    ramp_time=10.0,
+    overload_factor=2.0,
+    overload_time=1.0,
+)
 
 
 def make_settings(**changes: Any) -> Settings:
-    base = Settings(classes=(SHORT, LONG, LOAD), kinds=(Kind("medium", 8.0, 16000.0),), rules=RULES,
-                    tick=0.005, max_attempts=4, max_retry_after=1.0,
-                    may_cancel=True, priorities=True, bills_work=True)
+    base = Settings(
+        classes=(SHORT, LONG, LOAD),
+        kinds=(Kind("medium", 8.0, 16000.0),),
+        rules=RULES,
+        tick=0.005,
+        max_attempts=4,
+        max_retry_after=1.0,
+        may_cancel=True,
+        priorities=True,
+        bills_work=True,
+    )
     return replace(base, **changes)
 
 
@@ -79,15 +102,17 @@
     def sweep(self, at: float) -> list[Action]:
         return self.do(TimerFired("sweep"), at=at)
 
-    def ask(self, cls: str = "short", *, wait: float = 4.0, id: str | None = None,
-            **fields: Any) -> list[Action]:
+    def ask(
+        self, cls: str = "short", *, wait: float = 4.0, id: str | None = None, **fields: Any
+    ) -> list[Action]:
         self.count += 1
         return self.do(Query(id or f"q{self.count}", cls, self.now + wait, **fields))
 
     def end(self, send: Send, outcome: Outcome, latency: float = 0.1, **fields: Any) -> list[Action]:
         settled = outcome is Outcome.OK
-        return self.do(AttemptEnded(send.id, send.engine, self.attempts[send.id], outcome, latency, settled,
-                                    **fields))
+        return self.do(
+            AttemptEnded(send.id, send.engine, self.attempts[send.id], outcome, latency, settled, **fields)
+        )
 
     def crowd(self) -> None:
         """Makes every engine show pressure, as after a full refusal."""
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -211,7 +211,7 @@
             case ">":
                 whole = to_bytes(data)
                 for start in range(0, len(whole), cut or len(whole)):
-                    peer.protocol.data_received(whole[start:start + (cut or len(whole))])
+                    peer.protocol.data_received(whole[start : start + (cut or len(whole))])
             case "fin":  # it sends no more
                 peer.protocol.eof_received()
             case "lost" | "short":  # short: no descriptor was left for it
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -50,8 +50,11 @@
 def missing(reds: Sequence[Red], nodes: Sequence[str], *, whole: bool) -> list[str]:
     """Tests that are listed and not there; where not the whole suite is run, only in files that are."""
     files = {node.split("::")[0] for node in nodes}
-    return [red.test for red in reds
-            if (whole or red.test.split("::")[0] in files) and not any(map(red.names, nodes))]
+    return [
+        red.test
+        for red in reds
+        if (whole or red.test.split("::")[0] in files) and not any(map(red.names, nodes))
+    ]
 
 
 class KnownRed:
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -84,7 +84,8 @@
         ports = []
         for m in range(self.n):
             transport, _ = await self.loop.create_datagram_endpoint(
-                lambda m=m: Relay(self, m), ("127.0.0.1", 0))  # type: ignore[misc]
+                lambda m=m: Relay(self, m), ("127.0.0.1", 0)
+            )  # type: ignore[misc]
             ports.append(transport.get_extra_info("sockname")[1])
         server = await asyncio.start_server(self.take, "127.0.0.1", 0)
         return ports, server.sockets[0].getsockname()[1]
@@ -107,8 +108,9 @@
             home = self.folder / f"n{m}"
             home.mkdir(exist_ok=True)
             port, log = free_port(), free_port()
-            told = with_changes({"name": f"n{m}", "listen": f"127.0.0.1:{port}",
-                                 "changelog": f"127.0.0.1:{log}"})
+            told = with_changes(
+                {"name": f"n{m}", "listen": f"127.0.0.1:{port}", "changelog": f"127.0.0.1:{log}"}
+            )
             (home / "config.json").write_bytes(orjson.dumps(told))
             seeds = ", ".join(f'"127.0.0.1:{relay}"' for relay in self.relays)
             (home / "peers.hcl").write_text(f"""
@@ -130,9 +132,15 @@
             out = (home / f"log{self.lives[m]}").open("wb")
             self.lives[m] += 1
             self.processes[m] = subprocess.Popen(
-                [sys.executable, "-m", "grebeproxy"], stdout=out, stderr=subprocess.DEVNULL,
-                env={**os.environ, "BALANCER_CONFIG": str(home / "config.json"),
-                     "BALANCER_PEERS": str(home / "peers.hcl")})
+                [sys.executable, "-m", "grebeproxy"],
+                stdout=out,
+                stderr=subprocess.DEVNULL,
+                env={
+                    **os.environ,
+                    "BALANCER_CONFIG": str(home / "config.json"),
+                    "BALANCER_PEERS": str(home / "peers.hcl"),
+                },
+            )
 
     def signal(self, number: signal.Signals, *members: int) -> None:
         for m in members:
--- a/tests/members.py
+++ b/tests/members.py
@@ -9,8 +9,21 @@
 from random import Random
 
 from grebeproxy.membership import (
-    Changed, Condition, Config, Displaced, Effect, Event, Heard, LeaveAsked, Membership, Say, Told, View,
-    Wake, Woken)
+    Changed,
+    Condition,
+    Config,
+    Displaced,
+    Effect,
+    Event,
+    Heard,
+    LeaveAsked,
+    Membership,
+    Say,
+    Told,
+    View,
+    Wake,
+    Woken,
+)
 
 BASE = 9000
 
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -44,8 +44,9 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             self.address = free.getsockname()
-        told = with_changes({
-            "listen": "{}:{}".format(*self.address), "changelog": address(self.log), **changes})
+        told = with_changes(
+            {"listen": "{}:{}".format(*self.address), "changelog": address(self.log), **changes}
+        )
         entries = told["known"]["results"][0]["fleet"]["endpoints"]
         for entry, engine in zip(entries, self.engines, strict=True):
             entry["address"] = address(engine)
@@ -64,6 +65,7 @@
 
     def until(self, reached: Callable[[], object], seconds: float = 5.0) -> None:
         """Let it run to the turn of its loop in which something has come about."""
+
         async def turns() -> None:
             until = time.monotonic() + seconds
             while not reached():
--- a/tests/streams.py
+++ b/tests/streams.py
@@ -22,21 +22,37 @@
 RECORDED = Path(__file__).parent / "streams.txt"
 TENANTS = (api.Tenant("a", 20.0, 0.6), api.Tenant("b", 10.0, 0.4))
 CLASSES = (replace(SHORT, waits_for_loads=True), LONG, replace(LOAD, in_order=True))
-FAULTS = (api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.RESET, api.Outcome.TIMEOUT,
-          api.Outcome.CONNECT_FAILED)
+FAULTS = (
+    api.Outcome.ERROR,
+    api.Outcome.FULL,
+    api.Outcome.RESET,
+    api.Outcome.TIMEOUT,
+    api.Outcome.CONNECT_FAILED,
+)
 
 BUDGET = api.AttemptBudget(window=5.0, floor=3.0, share=0.1)
 
 # Settings, engines, queries a second: one gateway of few, of many, and each of the settings' switches.
 STREAMS: dict[str, tuple[dict[str, Any], int, float]] = {
-    "alone": ({}, 4, 40.0), "two": ({"balancers": 2, "index": 1}, 8, 60.0),
-    "many": ({"balancers": 200, "index": 17}, 60, 15.0), "six": ({"balancers": 6, "index": 3}, 9, 60.0),
+    "alone": ({}, 4, 40.0),
+    "two": ({"balancers": 2, "index": 1}, 8, 60.0),
+    "many": ({"balancers": 200, "index": 17}, 60, 15.0),
+    "six": ({"balancers": 6, "index": 3}, 9, 60.0),
     "crowded": ({"balancers": 3, "tenants": TENANTS}, 2, 120.0),
     "wide": ({"balancers": 2}, 40, 60.0),
     "probing": ({"balancers": 9, "may_probe": True, "progress_period": 1.0}, 12, 30.0),
     "asking": ({"asks_for_list": True, "overbooked": api.Overbooked.SHRINK, "memory_granted": True}, 5, 50.0),
-    "rationed": ({"rules": api.Rules(0.02, 1.0, 0.3, 10.0, 2.0, 1.0, 0.2, None, BUDGET),
-                  "overbooked": api.Overbooked.PAGE, "memory_granted": True, "may_cancel": False}, 5, 60.0)}
+    "rationed": (
+        {
+            "rules": api.Rules(0.02, 1.0, 0.3, 10.0, 2.0, 1.0, 0.2, None, BUDGET),
+            "overbooked": api.Overbooked.PAGE,
+            "memory_granted": True,
+            "may_cancel": False,
+        },
+        5,
+        60.0,
+    ),
+}
 
 
 class World:
@@ -73,8 +89,9 @@
                     self.act(action)
         return self.digest.hexdigest()
 
-    def engine(self, n: int, started: float | None,
-               state: api.EngineState = api.EngineState.UP) -> api.Engine:
+    def engine(
+        self, n: int, started: float | None, state: api.EngineState = api.EngineState.UP
+    ) -> api.Engine:
         return api.Engine(f"e{n}", "medium", state=state, started=started)
 
     def happen(self, event: api.Event | str) -> list[api.Event]:
@@ -101,9 +118,16 @@
         work = self.draw.expovariate(10.0 if cls is CLASSES[0] else 1.0)
         limit = cls.deadline * self.draw.choice([1.0, 1.0, 1.0, 0.8])
         return api.Query(
-            f"q{next(self.numbers)}", cls.name, self.now + limit, tenant=self.draw.choice("ab"),
-            key=f"k{self.draw.randrange(4)}" if cls.in_order else None, data_set=self.draw.randrange(12),
-            work=work, memory_mb=100.0 * work, resent=limit < cls.deadline)
+            f"q{next(self.numbers)}",
+            cls.name,
+            self.now + limit,
+            tenant=self.draw.choice("ab"),
+            key=f"k{self.draw.randrange(4)}" if cls.in_order else None,
+            data_set=self.draw.randrange(12),
+            work=work,
+            memory_mb=100.0 * work,
+            resent=limit < cls.deadline,
+        )
 
     def act(self, action: api.Action) -> None:
         values = [round(v, 6) if isinstance(v, float) else v for v in astuple(action)]
@@ -122,15 +146,28 @@
                 if self.now + took > job.due:
                     outcome, took = api.Outcome.TIMEOUT, job.due - self.now
                 report = {"memory_granted": self.draw.random()}
-                self.at(self.now + took, api.AttemptEnded(
-                    id, engine, number, outcome, took, outcome is api.Outcome.OK, job.work, job.memory,
-                    report))
+                self.at(
+                    self.now + took,
+                    api.AttemptEnded(
+                        id,
+                        engine,
+                        number,
+                        outcome,
+                        took,
+                        outcome is api.Outcome.OK,
+                        job.work,
+                        job.memory,
+                        report,
+                    ),
+                )
             case api.Cancel(id, attempt):
                 if id in self.out and self.out[id][1] == attempt:
                     engine, _, sent = self.out.pop(id)
                     self.out[id] = (engine, attempt, sent)
-                    self.at(self.now + 0.02, api.AttemptEnded(
-                        id, engine, attempt, api.Outcome.CANCELLED, self.now + 0.02 - sent))
+                    self.at(
+                        self.now + 0.02,
+                        api.AttemptEnded(id, engine, attempt, api.Outcome.CANCELLED, self.now + 0.02 - sent),
+                    )
             case api.SetTimer(name, delay):
                 self.at(self.now + delay, api.TimerFired(name))
             case api.Probe(engine):
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -42,17 +42,26 @@
     return messages, None
 
 
-TXN = st.integers(0, 2 ** 64 - 1).map("{:016x}".format)
+TXN = st.integers(0, 2**64 - 1).map("{:016x}".format)
 BODY = st.binary(max_size=300)
 FIELDS = st.fixed_dictionaries(
     {"txn": TXN, "limit": st.integers(1, 9000).map(str), "team": st.just("a")},
-    optional={"second": st.just("1"), "cpu": st.floats(0.001, 1e6).map("{:.3f}".format),
-              "unique": st.text("0123456789abcdef", min_size=32, max_size=32), "item": TXN,
-              "other": st.text(max_size=20)})
-REQUESTS = st.tuples(st.integers(1, 2 ** 32 - 1), st.sampled_from(["short", "long"]), FIELDS, BODY)
+    optional={
+        "second": st.just("1"),
+        "cpu": st.floats(0.001, 1e6).map("{:.3f}".format),
+        "unique": st.text("0123456789abcdef", min_size=32, max_size=32),
+        "item": TXN,
+        "other": st.text(max_size=20),
+    },
+)
+REQUESTS = st.tuples(st.integers(1, 2**32 - 1), st.sampled_from(["short", "long"]), FIELDS, BODY)
 PAGES = st.integers(0, 30).map(lambda rows: b"".join(b"%d\tb\tc\n" % row for row in range(rows)))
-ANSWERS = st.tuples(TXN, st.sampled_from(["ok", "refused", "error", "stale", "batch", "yes"]),
-                    st.sampled_from(["-", "count=2", "pos=3", "count=1,gauges=util:0.5", "x=y"]), PAGES)
+ANSWERS = st.tuples(
+    TXN,
+    st.sampled_from(["ok", "refused", "error", "stale", "batch", "yes"]),
+    st.sampled_from(["-", "count=2", "pos=3", "count=1,gauges=util:0.5", "x=y"]),
+    PAGES,
+)
 
 
 def said_by_client(request: tuple[int, str, dict[str, str], bytes]) -> bytes:
@@ -70,14 +79,15 @@
 def every_cut(make: Decoder, data: bytes) -> None:
     """Read whole, in two parts at each byte, and byte by byte: the same each time."""
     whole = read(make(), [data])
-    assert read(make(), (data[at:at + 1] for at in range(len(data)))) == whole
+    assert read(make(), (data[at : at + 1] for at in range(len(data)))) == whole
     for at in range(1, len(data)):
         assert read(make(), [data[:at], data[at:]]) == whole
 
 
 @given(st.lists(REQUESTS, min_size=1, max_size=2))
 def test_requests_are_read_as_they_were_meant_however_they_are_cut(
-        requests: list[tuple[int, str, dict[str, str], bytes]]) -> None:
+    requests: list[tuple[int, str, dict[str, str], bytes]],
+) -> None:
     data = b"".join(map(said_by_client, requests))
     every_cut(client, data)
     calls, trouble = read(client(), [data])
@@ -91,7 +101,8 @@
 
 @given(st.lists(ANSWERS, min_size=1, max_size=2))
 def test_answers_are_read_as_they_were_meant_however_they_are_cut(
-        answers: list[tuple[str, str, str, bytes]]) -> None:
+    answers: list[tuple[str, str, str, bytes]],
+) -> None:
     data = b"".join(map(said_by_engine, answers))
     every_cut(engine, data)
     read_, trouble = read(engine(), [data])
@@ -101,9 +112,14 @@
         assert got.pages == (2 if "count=2" in fields else 1) and got.page == (3 if "pos=3" in fields else 0)
 
 
-MAKERS = pytest.mark.parametrize(("make", "good"), [
-    (client, said_by_client((1, "short", {"txn": "a" * 16, "limit": "10", "team": "a"}, b"x"))),
-    (engine, said_by_engine(("a" * 16, "ok", "count=2", b"1\t2\t3\n")))], ids=["client", "engine"])
+MAKERS = pytest.mark.parametrize(
+    ("make", "good"),
+    [
+        (client, said_by_client((1, "short", {"txn": "a" * 16, "limit": "10", "team": "a"}, b"x"))),
+        (engine, said_by_engine(("a" * 16, "ok", "count=2", b"1\t2\t3\n"))),
+    ],
+    ids=["client", "engine"],
+)
 
 
 @MAKERS
@@ -115,7 +131,8 @@
 @MAKERS
 @given(at=st.integers(0, 200), byte=st.integers(0, 255), behind=st.binary(max_size=50))
 def test_one_byte_that_is_wrong_is_read_the_same_however_it_is_cut(
-        make: Decoder, good: bytes, at: int, byte: int, behind: bytes) -> None:
+    make: Decoder, good: bytes, at: int, byte: int, behind: bytes
+) -> None:
     spoilt = bytearray(good + good)
     spoilt[at % len(spoilt)] = byte
     every_cut(make, bytes(spoilt) + behind)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -28,8 +28,9 @@
     def __init__(self, balancers: int, engines: int, cold: int, seed: int) -> None:
         self.draw, self.now, self.began = Random(seed), 100.0, 98.0
         self.settings = make_settings(balancers=balancers, rules=COLD, classes=CLASSES)
-        self.entries = [Engine(f"e{n}", "medium", started=self.began if n < cold else None)
-                        for n in range(engines)]
+        self.entries = [
+            Engine(f"e{n}", "medium", started=self.began if n < cold else None) for n in range(engines)
+        ]
         self.cold = {entry.id for entry in self.entries[:cold]}
         self.sent: dict[str, list[tuple[float, float]]] = {id: [] for id in self.cold}
         self.gateways: list[Gateway] = []
@@ -44,7 +45,7 @@
         gateway.choice = type(gateway.choice)(replace(self.settings, index=index), self.now, seed)
         gateway.now = self.now
         gateway.tell(*self.entries)
-        self.gateways[index:index + 1] = [gateway]
+        self.gateways[index : index + 1] = [gateway]
 
     def run(self, seconds: float, rate: Callable[[str], float], outcome: Outcome = Outcome.OK) -> None:
         """Queries of each class at so many a second over all gateways; each ends in a step, in that way."""
@@ -77,7 +78,7 @@
         for sent in self.sent.values():
             for last in range(len(sent)):
                 at = sent[last][0]
-                got = sum(weight for when, weight in sent[:last + 1] if when > at - COLD.overload_time)
+                got = sum(weight for when, weight in sent[: last + 1] if when > at - COLD.overload_time)
                 age = max(0.0, at - COLD.overload_time / 2 - self.began)  # in the middle of the window
                 now = COLD.cold_fraction + (1.0 - COLD.cold_fraction) * age / COLD.ramp_time
                 budget = COLD.overload_factor * COLD.overload_time * BUSY * CORES * now / MEAN
@@ -90,14 +91,18 @@
 
 
 FLOODS: dict[str, dict[str, float]] = {
-    "lookups": {"short": 1200.0}, "reports": {"long": 150.0}, "loads": {"load": 150.0},
-    "all": {"short": 800.0, "long": 120.0, "load": 80.0}}  # the two engines can do some 7 core-seconds in one
+    "lookups": {"short": 1200.0},
+    "reports": {"long": 150.0},
+    "loads": {"load": 150.0},
+    "all": {"short": 800.0, "long": 120.0, "load": 80.0},
+}  # the two engines can do some 7 core-seconds in one
 
 
 @pytest.mark.parametrize("balancers", [2, 20, 30, 200])
 @pytest.mark.parametrize("flood", FLOODS)
 def test_gateways_that_all_restart_again_and_again_in_a_flood_keep_the_cold_budget(
-        balancers: int, flood: str) -> None:
+    balancers: int, flood: str
+) -> None:
     fleet = Fleet(balancers, engines=2, cold=2, seed=balancers)
     for _ in range(4):  # a restart in the middle of each window: no second allowance
         for index in range(balancers):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -25,15 +25,25 @@
     assert len({runtime.clock(1_790_000_000_000) for _ in range(1000)}) == 1
 
 
-@pytest.mark.parametrize(("path", "value", "key"), [
-    ("listen", "here", "listen:"), ("changelog", None, "changelog:"), ("seed", "xyz", "seed:"),
-    ("limits.sockets", "many", "limits.sockets:"), ("settings", 3, "settings:"),
-    ("limits", [], "limits:"), ("limits.memory_mb", 0, "limits.memory_mb:"),
-    ("known.results", [{"seq": 1}], "known: fleet:"),
-    ("known", None, "known:"), ("settings.limits", {}, "settings.mostTries:"),
-    ("settings.categories", [], "settings.familyInfo.dop:"), ("settings.kinds", None, "settings."),
-    ("settings.me", 4, "settings.index:"), ("settings.limits.multiplex", "x", "settings."),
-])
+@pytest.mark.parametrize(
+    ("path", "value", "key"),
+    [
+        ("listen", "here", "listen:"),
+        ("changelog", None, "changelog:"),
+        ("seed", "xyz", "seed:"),
+        ("limits.sockets", "many", "limits.sockets:"),
+        ("settings", 3, "settings:"),
+        ("limits", [], "limits:"),
+        ("limits.memory_mb", 0, "limits.memory_mb:"),
+        ("known.results", [{"seq": 1}], "known: fleet:"),
+        ("known", None, "known:"),
+        ("settings.limits", {}, "settings.mostTries:"),
+        ("settings.categories", [], "settings.familyInfo.dop:"),
+        ("settings.kinds", None, "settings."),
+        ("settings.me", 4, "settings.index:"),
+        ("settings.limits.multiplex", "x", "settings."),
+    ],
+)
 def test_a_faulty_key_is_named_in_one_line(path: str, value: Any, key: str) -> None:
     with pytest.raises(ConfigError) as caught:
         parse(with_changes({path: value}))
@@ -48,13 +58,24 @@
             load({"BALANCER_CONFIG": path})
 
 
-@pytest.mark.parametrize(("statement", "group"), [
-    ("SELECT n FROM sales_17.orders", 17), ("select 'from a_1.b', 'it''s' from \"ops_5\" . \"t\" x", 5),
-    ("-- from a_1.b\nUPDATE main.mart_9.t SET n = 1", 9), ("/* a_1.b /* c_2.d */ */ delete from e_3.f", 3),
-    ("merge into lake_10.orders d using staging.delta s on d.id = s.id", 10),
-    ("insert into staging_4.x select * from ops_2.t", 2), ("select t_3.n from sales_4.x t_3", 4),
-    ("select $q$ from a_1.b $q$, n from `lake_6`.t", 6), ("select a_1.n", 1), ("select 1.5 from x_2", None),
-    ("select '", None), ("/* from a_1.b", None), ("", None), ("\x00\xff.\"", None),
-])
+@pytest.mark.parametrize(
+    ("statement", "group"),
+    [
+        ("SELECT n FROM sales_17.orders", 17),
+        ("select 'from a_1.b', 'it''s' from \"ops_5\" . \"t\" x", 5),
+        ("-- from a_1.b\nUPDATE main.mart_9.t SET n = 1", 9),
+        ("/* a_1.b /* c_2.d */ */ delete from e_3.f", 3),
+        ("merge into lake_10.orders d using staging.delta s on d.id = s.id", 10),
+        ("insert into staging_4.x select * from ops_2.t", 2),
+        ("select t_3.n from sales_4.x t_3", 4),
+        ("select $q$ from a_1.b $q$, n from `lake_6`.t", 6),
+        ("select a_1.n", 1),
+        ("select 1.5 from x_2", None),
+        ("select '", None),
+        ("/* from a_1.b", None),
+        ("", None),
+        ('\x00\xff."', None),
+    ],
+)
 def test_the_group_of_tables_is_the_number_of_the_schema(statement: str, group: int | None) -> None:
     assert table_group(statement.encode("latin-1")) == group
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,8 +36,15 @@
     """A router whose one request waits for its connection, number 1, to come up."""
     config = parse(with_changes({}))
     router = Router(
-        config.settings, config.limits, changelog=config.changelog, seed=1, now=0.0, decide=module,
-        bounds=admission.bounds(config.sockets, config.memory_mb), known=[listed(api.EngineState.UP)])
+        config.settings,
+        config.limits,
+        changelog=config.changelog,
+        seed=1,
+        now=0.0,
+        decide=module,
+        bounds=admission.bounds(config.sockets, config.memory_mb),
+        known=[listed(api.EngineState.UP)],
+    )
     router.start(0.0)
     router.step(0.0, [events.LogOpened(1)])
     told = router.step(0.3, [events.ClientOpened(1), events.ClientSaid(1, CALL)])
@@ -57,8 +64,13 @@
 
 
 def runs(effects: Sequence[events.Effect]) -> list[say.Run]:
-    return [command for effect in effects if isinstance(effect, events.Write)
-            for command in effect.commands if isinstance(command, say.Run)]
+    return [
+        command
+        for effect in effects
+        if isinstance(effect, events.Write)
+        for command in effect.commands
+        if isinstance(command, say.Run)
+    ]
 
 
 def test_a_connection_that_comes_up_carries_what_waited_for_it() -> None:
@@ -66,12 +78,20 @@
     assert len(runs(router.step(0.31, [events.LinkOpened(link(router))]))) == 1
 
 
-@pytest.mark.parametrize("crossing", [
-    events.ClientClosed(1), events.ClientSaid(1, say.GiveUp(1)), events.HandsRead({ENGINE: (1, True)}),
-    events.LogSaid(listed(api.EngineState.DRAINING, 2)), events.LogSaid(listed(api.EngineState.GONE, 2))],
-    ids=["closed", "given up", "out by hand", "drains", "gone"])
+@pytest.mark.parametrize(
+    "crossing",
+    [
+        events.ClientClosed(1),
+        events.ClientSaid(1, say.GiveUp(1)),
+        events.HandsRead({ENGINE: (1, True)}),
+        events.LogSaid(listed(api.EngineState.DRAINING, 2)),
+        events.LogSaid(listed(api.EngineState.GONE, 2)),
+    ],
+    ids=["closed", "given up", "out by hand", "drains", "gone"],
+)
 def test_a_connection_that_comes_up_in_the_step_that_ends_its_attempt_carries_nothing(
-        crossing: events.Event) -> None:
+    crossing: events.Event,
+) -> None:
     router = asked()
     assert not runs(router.step(0.31, [events.LinkOpened(link(router)), crossing]))
     assert not runs(router.step(0.4, [events.Woken()]))
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -9,8 +9,21 @@
 from conftest import LOAD, LONG, SHORT, Gateway, cancels, finals, make_settings, sends
 
 from grebeproxy.policy.interface import (
-    Action, AttemptBudget, Effect, Engine, Kind, ListKind, Outcome, Overbooked, Probe, Probed, Progress,
-    ProgressKind, Send, SetTerms)
+    Action,
+    AttemptBudget,
+    Effect,
+    Engine,
+    Kind,
+    ListKind,
+    Outcome,
+    Overbooked,
+    Probe,
+    Probed,
+    Progress,
+    ProgressKind,
+    Send,
+    SetTerms,
+)
 
 ORDERED = replace(LOAD, in_order=True)
 
@@ -187,13 +200,15 @@
 def test_spare_memory_is_granted_as_far_as_estimates_scatter() -> None:
     granted: dict[float, float] = {}
     for fill in (0.1, 0.6, 2.0):
-        config = make_settings(memory_granted=True, overbooked=Overbooked.SHRINK,
-                               kinds=(Kind("medium", 8.0, 16000.0),))
+        config = make_settings(
+            memory_granted=True, overbooked=Overbooked.SHRINK, kinds=(Kind("medium", 8.0, 16000.0),)
+        )
         gateway = Gateway(config, engines=2)
         gateway.choice.memories[1].spread = 0.5
         gateway.choice.fill = fill
-        [terms] = [a for a in gateway.ask("long", wait=20.0, work=1.0, memory_mb=100.0)
-                   if isinstance(a, SetTerms)]
+        [terms] = [
+            a for a in gateway.ask("long", wait=20.0, work=1.0, memory_mb=100.0) if isinstance(a, SetTerms)
+        ]
         assert terms.memory_mb is not None
         granted[fill] = terms.memory_mb
     assert granted[0.1] > granted[0.6] > granted[2.0] > 100.0
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -42,19 +42,30 @@
 
 @given(st.permutations(range(1, 8)), st.sampled_from([0, 1000, 4099]))
 def test_a_result_of_48_000_bytes_is_whole_and_in_order_however_its_pages_come(
-        order: list[int], cut: int) -> None:
-    lines = [f"10 c1 > {asked(1)}", "11 L1 up", f"20 L1 > {told(1, 'ok', 'count=8', page(0))}",
-             *(f"30 L1 > {told(1, 'batch', f'pos={number}', page(number))}" for number in order)]
+    order: list[int], cut: int
+) -> None:
+    lines = [
+        f"10 c1 > {asked(1)}",
+        "11 L1 up",
+        f"20 L1 > {told(1, 'ok', 'count=8', page(0))}",
+        *(f"30 L1 > {told(1, 'batch', f'pos={number}', page(number))}" for number in order),
+    ]
     result = msgpack.packb([1, 1, None, [b"".join(map(page, range(8))), {}]])
     assert len(result) > 48_000
     assert f"30 c1 < {to_text(result)}" in play("\n".join(lines), cut).splitlines()
 
 
-@pytest.mark.parametrize(("who", "data"), [
-    ("c1", msgpack.packb([0, 2, "report", [{}, b"x" * 300_000]])), ("c1", b"\xdd" + b"\xff" * 4),
-    ("L1", b"*4\r\n$16\r\n0000000000000001\r\n$99999999\r\n" + b"x" * 100_000), ("L1", b"*4000000000\r\n"),
-    ("log", b"\xff" * 20), ("log", b"\0\0\0\x0a" + b"\0" * 7 + b"\x02\x02" + b"\0" * 9),
-])
+@pytest.mark.parametrize(
+    ("who", "data"),
+    [
+        ("c1", msgpack.packb([0, 2, "report", [{}, b"x" * 300_000]])),
+        ("c1", b"\xdd" + b"\xff" * 4),
+        ("L1", b"*4\r\n$16\r\n0000000000000001\r\n$99999999\r\n" + b"x" * 100_000),
+        ("L1", b"*4000000000\r\n"),
+        ("log", b"\xff" * 20),
+        ("log", b"\0\0\0\x0a" + b"\0" * 7 + b"\x02\x02" + b"\0" * 9),
+    ],
+)
 def test_what_is_too_long_to_be_right_ends_the_connection_it_came_on(who: str, data: bytes) -> None:
     lines = [f"10 c1 > {asked(1)}", "11 L1 up", "11 log up", f"20 {who} > {to_text(data)}", "300 c1 wait"]
     ends = f" {who} eof" if who[0] == "c" else f" {who} hangup"
@@ -65,17 +76,23 @@
     lines = [f"10 c1 > {asked(1)}", "11 L1 up", "12 c1 full"]
     for number in range(1, 50):
         rest = "".join(told(number, "batch", f"pos={pos}", page(pos)) for pos in range(1, 8))
-        lines += [f"{20 + 10 * number} L1 > {told(number, 'ok', 'count=8', page(0))}{rest}",
-                  f"{21 + 10 * number} c1 > {asked(number + 1)}"]
+        lines += [
+            f"{20 + 10 * number} L1 > {told(number, 'ok', 'count=8', page(0))}{rest}",
+            f"{21 + 10 * number} c1 > {asked(number + 1)}",
+        ]
     played = play("\n".join(lines)).splitlines()
     answers = [line for line in played if " c1 < " in line]
     assert len(answers) == 44  # the last of them passes 2 MiB
-    assert any(line.endswith(" c1 hangup") for line in played[played.index(answers[-1]):][:3])
+    assert any(line.endswith(" c1 hangup") for line in played[played.index(answers[-1]) :][:3])
 
 
 def test_results_that_are_not_whole_are_bounded_together() -> None:
-    lines = ['set module "stubborn"', "set limits.memory_mb 24",
-             f"10 c1 > {''.join(map(asked, range(1, 15)))}", "11 L1 up"]
+    lines = [
+        'set module "stubborn"',
+        "set limits.memory_mb 24",
+        f"10 c1 > {''.join(map(asked, range(1, 15)))}",
+        "11 L1 up",
+    ]
     for number in range(1, 14):  # 42,000 bytes each, of 524,288 in all
         rest = "".join(told(number, "batch", f"pos={pos}", page(pos)) for pos in range(1, 7))
         lines.append(f"{20 + number} L1 > {told(number, 'ok', 'count=8', page(0))}{rest}")
@@ -89,8 +106,9 @@
 NO_FIGURE = to_text(msgpack.packb([0, 1, "report", [{"txn": "0" * 16, "limit": "1_0", "team": "city"}, b""]]))
 
 
-@pytest.mark.parametrize("sent", [
-    HUNDREDS, HUNDREDS + TAKEN_BACK, NO_FIGURE * 8, to_text(b"\x94\x00\xff\xa5probe\x91\x80")])
+@pytest.mark.parametrize(
+    "sent", [HUNDREDS, HUNDREDS + TAKEN_BACK, NO_FIGURE * 8, to_text(b"\x94\x00\xff\xa5probe\x91\x80")]
+)
 def test_a_client_that_sends_too_much_is_closed_on_and_nothing_of_it_reaches_an_engine(sent: str) -> None:
     played = play(f"10 c1 > {sent}\n600 c1 wait").splitlines()
     assert "10 c1 eof" in played and "510 c1 hangup" in played
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,11 +17,16 @@
 
 def fleet(balancers: int, cold: int, engines: int = ENGINES, age: float = 2.0) -> list[Gateway]:
     """So many gateways; the last of the engines started lately."""
-    gateways = [Gateway(make_settings(balancers=balancers, index=i, rules=COLD), engines=0)
-                for i in range(balancers)]
+    gateways = [
+        Gateway(make_settings(balancers=balancers, index=i, rules=COLD), engines=0) for i in range(balancers)
+    ]
     for gateway in gateways:
-        gateway.tell(*(Engine(f"e{n}", "medium", started=gateway.now - age if n >= engines - cold else None)
-                       for n in range(engines)))
+        gateway.tell(
+            *(
+                Engine(f"e{n}", "medium", started=gateway.now - age if n >= engines - cold else None)
+                for n in range(engines)
+            )
+        )
     return gateways
 
 
@@ -73,8 +78,10 @@
 
 
 def test_a_query_on_a_cold_engine_is_called_off_no_sooner_than_its_pace_tells() -> None:
-    asked = ((g, sends(g.ask("long", wait=20.0, work=3.0, id=f"{i}")))  # a second's run, some 2.3 here
-             for i, g in enumerate(fleet(200, cold=2, engines=2)))
+    asked = (
+        (g, sends(g.ask("long", wait=20.0, work=3.0, id=f"{i}")))  # a second's run, some 2.3 here
+        for i, g in enumerate(fleet(200, cold=2, engines=2))
+    )
     gateway, send = next((gateway, sent[0]) for gateway, sent in asked if sent)
     gateway.sweep(gateway.now + 4.0)
     assert not gateway.choice.jobs[send.id].cancelled
@@ -163,8 +170,14 @@
 
 def test_odd_but_legal_settings_serve() -> None:
     odd: list[dict[str, Any]] = [
-        {"zones": ("",), "zone": ""}, {"balancers": 1}, {"balancers": 500, "index": 499}, {"tick": 0.0},
-        {"rules": Rules()}, {"max_attempts": 1}, {"tenants": (Tenant("a", 0.0),)}]
+        {"zones": ("",), "zone": ""},
+        {"balancers": 1},
+        {"balancers": 500, "index": 499},
+        {"tick": 0.0},
+        {"rules": Rules()},
+        {"max_attempts": 1},
+        {"tenants": (Tenant("a", 0.0),)},
+    ]
     for changes in odd:
         gateway = Gateway(make_settings(**changes), engines=1)
         [send] = sends(gateway.ask(work=0.1, tenant="a"))
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -19,8 +19,10 @@
 
 def change(seq: int, *records: tuple[int, int]) -> str:
     """The log's event that engines have states, all of them at one address."""
-    rows = b"".join(struct.pack(">IIHBBBHIQ", engine, 0x7F000001, 9001, state, 0, 0, 0, 1000, 0)
-                    for engine, state in records)
+    rows = b"".join(
+        struct.pack(">IIHBBBHIQ", engine, 0x7F000001, 9001, state, 0, 0, 0, 1000, 0)
+        for engine, state in records
+    )
     return to_text(struct.pack(">IQB", 9 + len(rows), seq, 2) + rows)
 
 
@@ -49,8 +51,13 @@
     for life in range(LIVES):
         at, engine = 50 * life, 10 + life
         happen(at + 10, "log", ">", change(3 + life, (engine - 1, 2), (engine, 0)))
-        fields = {"txn": f"{life:016x}", "limit": "9000", "team": "city", "unique": f"u{life}",
-                  "item": f"k{life}"}
+        fields = {
+            "txn": f"{life:016x}",
+            "limit": "9000",
+            "team": "city",
+            "unique": f"u{life}",
+            "item": f"k{life}",
+        }
         message = [0, 1, "load", [fields, b"INSERT INTO ops_%d.t" % life]]
         happen(at + 20, f"c{life}", ">", to_text(msgpack.packb(message)))
         if life % 3 == 2:  # every third leaves before its answer; the attempt is followed to its end
--- a/tests/test_hands.py
+++ b/tests/test_hands.py
@@ -65,7 +65,7 @@
     whole = encode("n1", calls)
     at = data.draw(st.integers(0, len(whole) - 1))
     other = bytes([whole[at] ^ data.draw(st.integers(1, 255))])
-    for spoilt in (whole[:at], whole[:at] + other + whole[at + 1:]):
+    for spoilt in (whole[:at], whole[:at] + other + whole[at + 1 :]):
         with pytest.raises(HandsError):
             decode("n1", spoilt)
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -166,8 +166,12 @@
 def test_terms_name_rank_and_a_roomy_grant() -> None:
     config = make_settings(memory_granted=True, overbooked=Overbooked.PAGE)
     gateway = Gateway(config)
-    terms = [a for cls in ("short", "long") for a in gateway.ask(cls, work=0.1, memory_mb=100.0)
-             if isinstance(a, SetTerms)]
+    terms = [
+        a
+        for cls in ("short", "long")
+        for a in gateway.ask(cls, work=0.1, memory_mb=100.0)
+        if isinstance(a, SetTerms)
+    ]
     assert terms[0].priority > terms[1].priority
     assert all(t.memory_mb is not None and t.memory_mb > 100.0 for t in terms)
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -31,11 +31,18 @@
     (tests / "known_red.py").write_text((Path(__file__).parent / "known_red.py").read_text())
     (tests / "conftest.py").write_text(
         "import known_red\n"
-        "def pytest_configure(config): config.pluginmanager.register(known_red.KnownRed())\n")
+        "def pytest_configure(config): config.pluginmanager.register(known_red.KnownRed())\n"
+    )
     if listed is not None:
         (folder / "KNOWN-RED.txt").write_text(listed)
-    done = subprocess.run([sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *args], cwd=folder,
-                          capture_output=True, text=True, timeout=60, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *args],
+        cwd=folder,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     return done.returncode, done.stdout + done.stderr
 
 
@@ -52,13 +59,21 @@
     assert run(tmp_path, None)[0] == 1
 
 
-@pytest.mark.parametrize(("listed", "says"), [
-    (RED, "test_cases"),  # one that fails and is not listed
-    (RED + CASES + "tests/test_it.py::test_green | none | issue 3\n", "XPASS(strict)"),
-    (RED + "tests/test_it.py::test_no | gone | issue 4\n", "no such test: tests/test_it.py::test_no"),
-    (RED + "tests/test_other.py::test_red | gone | issue 4\n", "no such test: tests/test_other.py::test_red"),
-    (RED + CASES + CASES + CASES, "4 tests, and it may list 1 to 3"), ("", "0 tests"),
-    ("tests/test_it.py::test_red | no issue\n", "line 1: must be test | cause | issue")])
+@pytest.mark.parametrize(
+    ("listed", "says"),
+    [
+        (RED, "test_cases"),  # one that fails and is not listed
+        (RED + CASES + "tests/test_it.py::test_green | none | issue 3\n", "XPASS(strict)"),
+        (RED + "tests/test_it.py::test_no | gone | issue 4\n", "no such test: tests/test_it.py::test_no"),
+        (
+            RED + "tests/test_other.py::test_red | gone | issue 4\n",
+            "no such test: tests/test_other.py::test_red",
+        ),
+        (RED + CASES + CASES + CASES, "4 tests, and it may list 1 to 3"),
+        ("", "0 tests"),
+        ("tests/test_it.py::test_red | no issue\n", "line 1: must be test | cause | issue"),
+    ],
+)
 def test_the_run_fails_where_the_list_is_not_true(tmp_path: Path, listed: str, says: str) -> None:
     status, out = run(tmp_path, listed)
     assert status != 0 and says in out
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -82,12 +82,14 @@
         claim = self._claims.get(lease)
         return claim.token if claim is not None else None
 
-    return [("counts from the answer", Leases, "_counted", counts_from_the_answer),
-            ("votes right after its start", Leases, "_answer", votes_at_once),
-            ("votes for two", Leases, "_answer", votes_twice),
-            ("takes answers to an earlier asking", Leases, "_heard", takes_any_answer),
-            ("does not look at the clock before it acts", Leases, "token", holds_on),
-            ("the fence admits all", Fence, "admit", lambda self, lease, token: True)]
+    return [
+        ("counts from the answer", Leases, "_counted", counts_from_the_answer),
+        ("votes right after its start", Leases, "_answer", votes_at_once),
+        ("votes for two", Leases, "_answer", votes_twice),
+        ("takes answers to an earlier asking", Leases, "_heard", takes_any_answer),
+        ("does not look at the clock before it acts", Leases, "token", holds_on),
+        ("the fence admits all", Fence, "admit", lambda self, lease, token: True),
+    ]
 
 
 COUNTED, HEARD = Leases._counted, Leases._heard
@@ -95,7 +97,8 @@
 
 @pytest.mark.parametrize("mutant", mutants(), ids=lambda mutant: mutant[0])
 def test_without_any_one_of_its_rules_it_is_not_safe(
-        mutant: tuple[str, Any, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+    mutant: tuple[str, Any, str, Any], monkeypatch: pytest.MonkeyPatch
+) -> None:
     _, owner, name, instead = mutant
     monkeypatch.setattr(owner, name, instead)
     assert any(troubled(seed).faults for seed in SEEDS)
@@ -117,7 +120,7 @@
     assert any(act[1] != holder for act in voters.acts if at < act[0] < at + 0.6 * LENGTH)
 
 
-@pytest.mark.parametrize("ballot", [-1, 0, 2 ** 60])
+@pytest.mark.parametrize("ballot", [-1, 0, 2**60])
 def test_a_ballot_that_cannot_be_gets_no_vote(ballot: int) -> None:
     vote = Vote(Word.ASK, "x", ballot)
     voter = Leases("n0", 1, 3, LENGTH, Random(1), -100.0)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -175,6 +175,7 @@
             for send in sends(actions)[:1]:
                 log.extend(gateway.end(send, (Outcome.OK, Outcome.ERROR)[i % 2], work=0.5))
         return log
+
     assert play() == play()
     assert LONG.threads > LOAD.threads
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -59,7 +59,8 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize(("n", "groups"), [(4, 2), (5, 2), (9, 3), (9, 2)])
 def test_no_two_sides_of_a_cut_are_quorate_once_it_is_found_and_all_meet_again(
-        n: int, groups: int, seed: int) -> None:
+    n: int, groups: int, seed: int
+) -> None:
     net = settled(n, seed)
     side = [net.rng.randrange(groups) for _ in range(n)]
     net.cut = lambda a, b: side[a] != side[b]
@@ -78,8 +79,12 @@
 def test_one_that_stood_still_does_not_take_the_others_for_failed(seed: int) -> None:
     net = settled(5, seed)
     net.freeze(2)
-    net.until(lambda: net.agree([0, 1, 3, 4]) if 2 not in net.cores else all(
-        "n2" not in net.cores[m].view.members for m in (0, 1, 3, 4)), 60.0)
+    net.until(
+        lambda: net.agree([0, 1, 3, 4])
+        if 2 not in net.cores
+        else all("n2" not in net.cores[m].view.members for m in (0, 1, 3, 4)),
+        60.0,
+    )
     net.run(20.0)
     began = net.now
     net.thaw(2)
@@ -93,8 +98,11 @@
     net = settled(5, seed)
     for _ in range(3):
         net.start(3)
-        net.until(lambda: net.agree(range(5)) and len({
-            core.facts["n3"].instance for core in net.cores.values()}) == 1, 30.0)
+        net.until(
+            lambda: net.agree(range(5))
+            and len({core.facts["n3"].instance for core in net.cores.values()}) == 1,
+            30.0,
+        )
     net.kill(3)
     net.until(lambda: net.agree([0, 1, 2, 4]), 60.0)
     net.start(3)  # its incarnation begins anew, below what is held of it
@@ -176,8 +184,14 @@
     assert max(len(core.facts) for core in net.cores.values()) <= 12
 
 
-FACTS = st.builds(Fact, st.sampled_from(["n1", "n2"]), st.just(("127.0.0.1", 9001)), st.integers(1, 2),
-                  st.integers(0, 2), st.sampled_from(State))
+FACTS = st.builds(
+    Fact,
+    st.sampled_from(["n1", "n2"]),
+    st.just(("127.0.0.1", 9001)),
+    st.integers(1, 2),
+    st.integers(0, 2),
+    st.sampled_from(State),
+)
 
 
 @given(st.lists(FACTS, max_size=8), st.randoms(use_true_random=False))
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -13,15 +13,38 @@
 
 from grebeproxy.membership.model import Fact, Kind, Message, State
 from grebeproxy.membership.wire import (
-    DIGEST, MOST_BYTES, MOST_FACTS, MOST_NUMBER, WINDOW, Sealed, Window, WireError, packed, unpacked)
+    DIGEST,
+    MOST_BYTES,
+    MOST_FACTS,
+    MOST_NUMBER,
+    WINDOW,
+    Sealed,
+    Window,
+    WireError,
+    packed,
+    unpacked,
+)
 
 NAMES = st.text(st.characters(codec="utf-8"), min_size=1, max_size=8)
 NUMBERS = st.integers(0, MOST_NUMBER)
-FACTS = st.builds(Fact, NAMES, st.tuples(st.from_regex(r"[0-9a-f.:]{1,15}", fullmatch=True),
-                                         st.integers(1, 65535)),
-                  NUMBERS, NUMBERS, st.sampled_from(State), st.one_of(st.just(""), NAMES))
-MESSAGES = st.builds(Message, st.sampled_from(Kind), FACTS, NUMBERS, st.one_of(st.just(""), NAMES), NUMBERS,
-                     st.lists(FACTS, max_size=8).map(tuple))
+FACTS = st.builds(
+    Fact,
+    NAMES,
+    st.tuples(st.from_regex(r"[0-9a-f.:]{1,15}", fullmatch=True), st.integers(1, 65535)),
+    NUMBERS,
+    NUMBERS,
+    st.sampled_from(State),
+    st.one_of(st.just(""), NAMES),
+)
+MESSAGES = st.builds(
+    Message,
+    st.sampled_from(Kind),
+    FACTS,
+    NUMBERS,
+    st.one_of(st.just(""), NAMES),
+    NUMBERS,
+    st.lists(FACTS, max_size=8).map(tuple),
+)
 KEY = b"a key of the fleet"
 
 
@@ -36,11 +59,13 @@
     assert len(packet) <= MOST_BYTES
     assert unpacked(other.open(packet)) == message
     # A second reading, by hand: what is on the wire is what the page says.
-    instance, number, mark, payload = msgpack.unpackb(packet[1 + DIGEST:])
+    instance, number, mark, payload = msgpack.unpackb(packet[1 + DIGEST :])
     assert (packet[0], instance, number, mark) == (2, 1, 1, 7)
     assert payload[0] == int(message.kind) and len(payload[5]) == len(message.facts)
-    assert all(told[0] == fact.name and told[1:3] == list(fact.address)
-               for told, fact in zip(payload[5], message.facts, strict=True))
+    assert all(
+        told[0] == fact.name and told[1:3] == list(fact.address)
+        for told, fact in zip(payload[5], message.facts, strict=True)
+    )
 
 
 @given(MESSAGES, st.data())
@@ -49,7 +74,7 @@
     packet = one.seal(packed(message))
     at = data.draw(st.integers(0, len(packet) - 1))
     flipped = bytes([packet[at] ^ data.draw(st.integers(1, 255))])
-    for spoilt in (packet[:at], packet[:at] + flipped + packet[at + 1:], packet + b"x"):
+    for spoilt in (packet[:at], packet[:at] + flipped + packet[at + 1 :], packet + b"x"):
         with pytest.raises(WireError):
             other.open(spoilt)
 
@@ -60,9 +85,17 @@
         pair()[1].open(noise)
 
 
-SCRAPS = st.recursive(st.one_of(st.none(), st.booleans(), st.integers(-5, 2 ** 64 - 1), st.text(max_size=40),
-                                st.binary(max_size=4), st.floats()), lambda inner: st.lists(inner,
-                                max_size=8))
+SCRAPS = st.recursive(
+    st.one_of(
+        st.none(),
+        st.booleans(),
+        st.integers(-5, 2**64 - 1),
+        st.text(max_size=40),
+        st.binary(max_size=4),
+        st.floats(),
+    ),
+    lambda inner: st.lists(inner, max_size=8),
+)
 
 
 @given(SCRAPS)
@@ -100,7 +133,11 @@
     assert other.open(by_hand(1, [5, 1, ["no mark"]])) == ["no mark"]
     assert other.open(by_hand(9, [5, 2, 7, ["p"], "what a later version adds"])) == ["p"]
     unusable: list[tuple[int, list[object]]] = [
-        (0, [5, 3, 7, []]), (2, [5]), (2, [-5, 3, 7, []]), (2, ["5", 3, 7, []])]
+        (0, [5, 3, 7, []]),
+        (2, [5]),
+        (2, [-5, 3, 7, []]),
+        (2, ["5", 3, 7, []]),
+    ]
     for version, body in unusable:
         with pytest.raises(WireError):
             other.open(by_hand(version, body))
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -10,8 +10,21 @@
 PARTS = [ROOT / name for name in tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]]
 RECORDS = [path for path in (ROOT / "grebeproxy/policy").glob("*.py") if path not in PARTS]
 ALLOWED = {
-    "__future__", "zlib", "functools", "hashlib", "math", "random", "statistics", "bisect", "collections",
-    "collections.abc", "dataclasses", "enum", "itertools", "typing"}
+    "__future__",
+    "zlib",
+    "functools",
+    "hashlib",
+    "math",
+    "random",
+    "statistics",
+    "bisect",
+    "collections",
+    "collections.abc",
+    "dataclasses",
+    "enum",
+    "itertools",
+    "typing",
+}
 
 
 def test_the_module_is_short_enough_to_print() -> None:
@@ -36,8 +49,11 @@
         for node in ast.parse(path.read_text()).body:
             if isinstance(node, ast.Assign):
                 fixed = ast.Constant | ast.Attribute | ast.Tuple | ast.Load | ast.BinOp | ast.Mult
-                assert all(isinstance(value, fixed) for value in ast.walk(node.value)
-                           if not isinstance(value, ast.Name))
+                assert all(
+                    isinstance(value, fixed)
+                    for value in ast.walk(node.value)
+                    if not isinstance(value, ast.Name)
+                )
 
 
 def test_the_module_names_its_interface_at_the_top() -> None:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -25,11 +25,14 @@
 ORDERED = replace(LOAD, in_order=True)
 BASE = make_settings(classes=(SHORT, ORDERED))
 VARIANTS = (
-    BASE, replace(BASE, max_attempts=1), replace(BASE, classes=(ORDERED,)),
+    BASE,
+    replace(BASE, max_attempts=1),
+    replace(BASE, classes=(ORDERED,)),
     replace(BASE, classes=(SHORT, replace(ORDERED, repeat_window=0.3))),
     replace(BASE, classes=(SHORT, replace(ORDERED, effect=api.Effect.UNSAFE))),
     replace(BASE, classes=(SHORT, replace(ORDERED, repeat_window=1.0, scope=api.Scope.CELL))),
-    replace(BASE, classes=(replace(SHORT, effect=api.Effect.UNSAFE), ORDERED, replace(SHORT, name="new"))))
+    replace(BASE, classes=(replace(SHORT, effect=api.Effect.UNSAFE), ORDERED, replace(SHORT, name="new"))),
+)
 
 
 class Operating(RuleBasedStateMachine):
@@ -57,8 +60,15 @@
         self.settings = settings
         engines = tuple(api.Engine(engine, "medium", cell=n) for n, engine in enumerate(ENGINES))
         known = say.News(1, api.EngineList(api.ListKind.FULL, engines, 1), self.addresses())
-        self.router = Router(settings, LIMITS, changelog=("127.0.0.1", 1), bounds=admission.bounds(256, 96.0),
-                             seed=1, now=90.0, known=[known])
+        self.router = Router(
+            settings,
+            LIMITS,
+            changelog=("127.0.0.1", 1),
+            bounds=admission.bounds(256, 96.0),
+            seed=1,
+            now=90.0,
+            known=[known],
+        )
         self.seq = 1
         self.carry_out(self.router.start(90.0))
         self.do(events.LogSaid(say.News(1)))
@@ -152,8 +162,12 @@
             self.wake = float("inf")
             self.do(events.Woken(), events.LogSaid(say.News(self.seq)))
 
-    @rule(conn=st.integers(1, 3), cls=st.sampled_from(["short", "load", "load", "new"]),
-          key=st.sampled_from("ab"), quick=st.sampled_from([True, True, False]))
+    @rule(
+        conn=st.integers(1, 3),
+        cls=st.sampled_from(["short", "load", "load", "new"]),
+        key=st.sampled_from("ab"),
+        quick=st.sampled_from([True, True, False]),
+    )
     def ask(self, conn: int, cls: str, key: str, quick: bool) -> None:
         if self.exited:
             return
@@ -216,9 +230,13 @@
         self.up.add(link)
         return [events.LinkOpened(link)]
 
-    @rule(data=st.data(), word=st.sampled_from([
-        say.Word.OK, say.Word.OK, say.Word.ERROR, say.Word.ERROR, say.Word.FULL, say.Word.STALE]),
-        quick=st.sampled_from([True, True, False]))
+    @rule(
+        data=st.data(),
+        word=st.sampled_from(
+            [say.Word.OK, say.Word.OK, say.Word.ERROR, say.Word.ERROR, say.Word.FULL, say.Word.STALE]
+        ),
+        quick=st.sampled_from([True, True, False]),
+    )
     def engine_answers(self, data: st.DataObject, word: say.Word, quick: bool) -> None:
         if self.out:
             txn = data.draw(st.sampled_from(sorted(self.out)))
@@ -237,8 +255,11 @@
             self.lost(link)
             self.do(events.LinkClosed(link))
 
-    @rule(engine=st.sampled_from([*ENGINES, "nobody"]), out=st.sampled_from([False, False, True]),
-          upgrade=st.booleans())
+    @rule(
+        engine=st.sampled_from([*ENGINES, "nobody"]),
+        out=st.sampled_from([False, False, True]),
+        upgrade=st.booleans(),
+    )
     def by_hand(self, engine: str, out: bool, upgrade: bool) -> None:
         self.door.clear()
         gone = engine != "nobody" and self.listed[engine] is api.EngineState.GONE
@@ -253,16 +274,20 @@
             if engine == "nobody" or not gone:
                 assert self.door == [engine != "nobody"]
 
-    @rule(engine=st.sampled_from(ENGINES), whole=st.booleans(),
-          state=st.sampled_from([*[api.EngineState.UP] * 5, *api.EngineState]))
+    @rule(
+        engine=st.sampled_from(ENGINES),
+        whole=st.booleans(),
+        state=st.sampled_from([*[api.EngineState.UP] * 5, *api.EngineState]),
+    )
     def list_comes(self, engine: str, state: api.EngineState, whole: bool) -> None:
         if engine in self.out_by_hand and state is api.EngineState.GONE:
             return
         self.seq += 1
         self.listed[engine] = state
         named = ENGINES if whole else (engine,)
-        entries = tuple(api.Engine(name, "medium", cell=ENGINES.index(name), state=self.listed[name])
-                        for name in named)
+        entries = tuple(
+            api.Engine(name, "medium", cell=ENGINES.index(name), state=self.listed[name]) for name in named
+        )
         how = api.ListKind.FULL if whole else api.ListKind.CHANGES
         addresses = {name: self.addresses()[name] for name in named}
         self.do(events.LogSaid(say.News(self.seq, api.EngineList(how, entries, self.seq), addresses)))
@@ -316,8 +341,16 @@
 @pytest.mark.parametrize(("shared", "forced"), [(False, 3.7), (True, 5.7)])
 def test_a_router_that_ends_answers_all_before_it_is_forced_to(shared: bool, forced: float) -> None:
     """Deadlines are 20 s here, of which 3 s count, or 5 s where another process takes over."""
-    router = Router(BASE, LIMITS, changelog=("127.0.0.1", 1), bounds=admission.bounds(256, 96.0), seed=1,
-                    now=0.0, decide=Silent, shared=shared)
+    router = Router(
+        BASE,
+        LIMITS,
+        changelog=("127.0.0.1", 1),
+        bounds=admission.bounds(256, 96.0),
+        seed=1,
+        now=0.0,
+        decide=Silent,
+        shared=shared,
+    )
     router.start(0.0)
     asked = say.Call(1, "a" * 16, "load", 20.0, b"x", token="t")
     harmless = replace(asked, msg=2, txn="c" * 16, cls="short")
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -43,18 +43,29 @@
     assert load(str(EXAMPLE), "n1").member.fleet == 3
 
 
-@pytest.mark.parametrize(("old", "new", "key"), [
-    ('"127.0.0.1:7946"', '"here"', "peers.listen:"), ("fleet  = 3", "", "peers.fleet:"),
-    ("fleet  = 3", "fleet = 2.5", "peers.fleet:"), ("fleet  = 3", 'fleet = "3"', "peers.fleet:"),
-    ("fleet  = 3", "fleet = 0", "peers.fleet:"), ('["127.0.0.1:7947"', '["nowhere:1"', "peers.seeds:"),
-    ("seeds  = [", "seeds = 3 # [", "peers.seeds:"), ('key    = "sixteen bytes or more"', "", "peers.key:"),
-    ("sixteen bytes or more", "short", "peers.key:"), ("fleet  = 3", "fleet = 3\nflet = 3", "peers.flet:"),
-    ("fleet  = 3", "fleet = 3\nperiod_ms = 0", "peers.period_ms:"),
-    ("fleet  = 3", "fleet = 3\ntimeout_ms = 900", "peers.timeout:"),
-    ("fleet  = 3", "fleet = 3\nlease_ms = true", "peers.lease_ms:"),
-    ("every_ms = 250", "every = 1", "duty.nightly.every:"), ('"nightly"', '"two words"', "duty:"),
-    ("duty", "dutty", "dutty:"), ("peers {", "peers { {", "file:"), ("peers {", "piers {", "piers:"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "key"),
+    [
+        ('"127.0.0.1:7946"', '"here"', "peers.listen:"),
+        ("fleet  = 3", "", "peers.fleet:"),
+        ("fleet  = 3", "fleet = 2.5", "peers.fleet:"),
+        ("fleet  = 3", 'fleet = "3"', "peers.fleet:"),
+        ("fleet  = 3", "fleet = 0", "peers.fleet:"),
+        ('["127.0.0.1:7947"', '["nowhere:1"', "peers.seeds:"),
+        ("seeds  = [", "seeds = 3 # [", "peers.seeds:"),
+        ('key    = "sixteen bytes or more"', "", "peers.key:"),
+        ("sixteen bytes or more", "short", "peers.key:"),
+        ("fleet  = 3", "fleet = 3\nflet = 3", "peers.flet:"),
+        ("fleet  = 3", "fleet = 3\nperiod_ms = 0", "peers.period_ms:"),
+        ("fleet  = 3", "fleet = 3\ntimeout_ms = 900", "peers.timeout:"),
+        ("fleet  = 3", "fleet = 3\nlease_ms = true", "peers.lease_ms:"),
+        ("every_ms = 250", "every = 1", "duty.nightly.every:"),
+        ('"nightly"', '"two words"', "duty:"),
+        ("duty", "dutty", "dutty:"),
+        ("peers {", "peers { {", "file:"),
+        ("peers {", "piers {", "piers:"),
+    ],
+)
 def test_a_faulty_key_is_named_in_one_line(old: str, new: str, key: str) -> None:
     assert old in WHOLE
     with pytest.raises(OperatorFileError) as caught:
@@ -77,9 +88,15 @@
 
 
 def test_what_has_to_be_alike_makes_the_mark() -> None:
-    marks = {parse(WHOLE.replace(old, new), name).mark for old, new, name in (
-        ("", "", "n1"), ("fleet  = 3", "fleet = 5", "n1"), ("nightly", "daily", "n1"),
-        ("fleet  = 3", "fleet = 3\nlease_ms = 9", "n1"))}
+    marks = {
+        parse(WHOLE.replace(old, new), name).mark
+        for old, new, name in (
+            ("", "", "n1"),
+            ("fleet  = 3", "fleet = 5", "n1"),
+            ("nightly", "daily", "n1"),
+            ("fleet  = 3", "fleet = 3\nlease_ms = 9", "n1"),
+        )
+    }
     assert len(marks) == 4
     assert parse(WHOLE, "n1").mark == parse(WHOLE.replace(":7946", ":1"), "n2").mark
 
@@ -93,11 +110,23 @@
     return made
 
 
-LEAVES = st.one_of(st.none(), st.booleans(), st.integers(-3, 5), st.sampled_from(["n2", "x", ""]),
-                   st.binary(max_size=3), st.floats())
+LEAVES = st.one_of(
+    st.none(),
+    st.booleans(),
+    st.integers(-3, 5),
+    st.sampled_from(["n2", "x", ""]),
+    st.binary(max_size=3),
+    st.floats(),
+)
 SCRAPS = st.recursive(LEAVES, lambda inner: st.lists(inner, max_size=8))
-PAYLOADS = st.one_of(SCRAPS, st.builds(lambda kind, told: [kind, *told], st.sampled_from([1, 2, 3, 4]),
-                                       st.lists(SCRAPS, min_size=2, max_size=9)))
+PAYLOADS = st.one_of(
+    SCRAPS,
+    st.builds(
+        lambda kind, told: [kind, *told],
+        st.sampled_from([1, 2, 3, 4]),
+        st.lists(SCRAPS, min_size=2, max_size=9),
+    ),
+)
 
 
 @settings(max_examples=40)
@@ -112,16 +141,17 @@
 
 def test_the_longest_of_each_kind_fits_a_packet() -> None:
     name = "n" * 32
-    fact = Fact(name, ("255.255.255.255", 65535), 2 ** 56, 2 ** 40, State.SUSPECT, name)
-    versions = [["o" * 32, 2 ** 40, 2 ** 48, 2 ** 53] for _ in range(PER_DIGEST)]
+    fact = Fact(name, ("255.255.255.255", 65535), 2**56, 2**40, State.SUSPECT, name)
+    versions = [["o" * 32, 2**40, 2**48, 2**53] for _ in range(PER_DIGEST)]
     value = bytes(Limits().value)
     for payload in (
-            [1, packed(Message(Kind.GOSSIP, fact, 2 ** 40, name, 2 ** 64 - 1, (fact,) * 8))],
-            [2, name, 2 ** 56, [1, "d" * 64, 2 ** 53, 2 ** 51]], [3, name, versions, True, True],
-            [4, name, name, 2 ** 40, 2 ** 48, 2 ** 53, 2 ** 53, 14.9, [["k" * 64, 2 ** 53, value]]],
-            [4, name, name, 2 ** 40, 2 ** 48, 2 ** 53, 2 ** 53, 14.9, [["k", 2 ** 53, b""]] * (
-                DELTA_BYTES // 17)]):
-        assert len(Sealed(b"k" * 16, 2 ** 56, 2 ** 32 - 1).seal(payload)) <= MOST_BYTES
+        [1, packed(Message(Kind.GOSSIP, fact, 2**40, name, 2**64 - 1, (fact,) * 8))],
+        [2, name, 2**56, [1, "d" * 64, 2**53, 2**51]],
+        [3, name, versions, True, True],
+        [4, name, name, 2**40, 2**48, 2**53, 2**53, 14.9, [["k" * 64, 2**53, value]]],
+        [4, name, name, 2**40, 2**48, 2**53, 2**53, 14.9, [["k", 2**53, b""]] * (DELTA_BYTES // 17)],
+    ):
+        assert len(Sealed(b"k" * 16, 2**56, 2**32 - 1).seal(payload)) <= MOST_BYTES
 
 
 def test_a_vote_counts_only_from_the_process_that_is_the_member() -> None:
--- a/tests/test_peers_lab.py
+++ b/tests/test_peers_lab.py
@@ -32,7 +32,8 @@
 
 @pytest.mark.parametrize("n", [3, 5, 9])
 def test_a_holder_that_is_killed_or_stands_still_is_followed_and_what_it_sends_late_is_refused(
-        made: Made, n: int) -> None:
+    made: Made, n: int
+) -> None:
     lab = made(n)
     lab.acts_on(15.0)
     first = int(lab.effects[-1][1][1][1:])
@@ -107,8 +108,13 @@
     lab.kill(2)
     lab.start(2, fleet=1)  # by itself a fleet of one: it must not act for the others
     lab.until(lambda: lab.agree([0, 1]), 30.0)
-    lab.until(lambda: any(line.get("reason") == "from a router that is configured otherwise"
-                          for line in lab.lines(0) + lab.lines(1)), 30.0)
+    lab.until(
+        lambda: any(
+            line.get("reason") == "from a router that is configured otherwise"
+            for line in lab.lines(0) + lab.lines(1)
+        ),
+        30.0,
+    )
     lab.check()
 
 
@@ -126,8 +132,10 @@
 
 
 def test_where_it_is_off_nothing_of_it_is_imported() -> None:
-    text = ("import sys, grebeproxy.__main__; assert grebeproxy.__main__.peers('n', None) is None; "
-            "print([m for m in sys.modules if m.startswith(('grebeproxy.peers', 'grebeproxy.membership', "
-            "'grebeproxy.replica', 'hcl2', 'structlog'))])")
+    text = (
+        "import sys, grebeproxy.__main__; assert grebeproxy.__main__.peers('n', None) is None; "
+        "print([m for m in sys.modules if m.startswith(('grebeproxy.peers', 'grebeproxy.membership', "
+        "'grebeproxy.replica', 'hcl2', 'structlog'))])"
+    )
     told = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, check=True)
     assert told.stdout == "[]\n"
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -18,8 +18,9 @@
 
 def start(*words: str, descriptors: int = 256, **environ: str) -> subprocess.Popen[str]:
     command = ["/bin/sh", "-c", f'ulimit -n {descriptors}; exec "$@"', "sh", sys.executable, *words]
-    return subprocess.Popen(command, env={**os.environ, **environ}, text=True,
-                            stdout=subprocess.PIPE, stderr=subprocess.STDOUT)
+    return subprocess.Popen(
+        command, env={**os.environ, **environ}, text=True, stdout=subprocess.PIPE, stderr=subprocess.STDOUT
+    )
 
 
 def first_line(process: subprocess.Popen[str]) -> str:
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -38,8 +38,11 @@
     for number in range(PROCESSES):
         address, path = free_address(), tmp_path / f"{number}.json"
         path.write_bytes(orjson.dumps(with_changes({"listen": address, "changelog": "127.0.0.1:9"})))
-        started = subprocess.Popen([sys.executable, "-m", "grebeproxy"], stderr=subprocess.DEVNULL,
-                                   env={**os.environ, "BALANCER_CONFIG": str(path)})
+        started = subprocess.Popen(
+            [sys.executable, "-m", "grebeproxy"],
+            stderr=subprocess.DEVNULL,
+            env={**os.environ, "BALANCER_CONFIG": str(path)},
+        )
         os.sched_setaffinity(started.pid, core)
         waiting[address] = started
     processes = list(waiting.values())
@@ -57,4 +60,4 @@
         for process in processes:
             process.kill()
             process.wait()
-    assert sum(sorted(used)[:PROCESSES * 9 // 10]) <= READY_IN
+    assert sum(sorted(used)[: PROCESSES * 9 // 10]) <= READY_IN
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -18,8 +18,11 @@
 LIMITS = Limits()
 SEEDS = range(60)
 LIFE = (0, 7)
-ENTRIES = st.dictionaries(st.sampled_from("abc"), st.tuples(st.integers(0, 5), st.one_of(
-    st.none(), st.binary(max_size=2))), max_size=3)
+ENTRIES = st.dictionaries(
+    st.sampled_from("abc"),
+    st.tuples(st.integers(0, 5), st.one_of(st.none(), st.binary(max_size=2))),
+    max_size=3,
+)
 LIVES = st.tuples(st.integers(0, 1), st.integers(0, 1))
 RECORDS = st.builds(Record, LIVES, st.integers(0, 9), st.floats(0, 9), ENTRIES)
 
@@ -74,8 +77,11 @@
                 if isinstance(effect, Send):
                     self.sent += 1
                     self.pass_on(m, int(effect.to[1:]), effect.message)
-            assert all(store.records[origin].version >= version for origin, version in held.items()
-                       if origin in store.records)
+            assert all(
+                store.records[origin].version >= version
+                for origin, version in held.items()
+                if origin in store.records
+            )
             if isinstance(event, Woken):
                 heappush(self.queue, (max(store.next_at, self.now + 1e-3), next(self.numbers), m, Woken()))
         self.now = until
@@ -88,14 +94,18 @@
 
     def alike(self) -> bool:
         """Each holds what each says, and nothing else."""
+
         def held(store: Store, origin: str) -> dict[str, bytes]:
             record = store.records.get(origin, Record())
-            return {key: value for key, (_, value) in record.entries.items()
-                    if key != MARK and value is not None}
+            return {
+                key: value for key, (_, value) in record.entries.items() if key != MARK and value is not None
+            }
 
-        return all(held(store, f"n{m}") == self.said[m] for store in self.stores.values() for m in self.stores
-                   ) and not any(int(origin[1:]) not in self.stores for store in self.stores.values()
-                                 for origin in store.records)
+        return all(
+            held(store, f"n{m}") == self.said[m] for store in self.stores.values() for m in self.stores
+        ) and not any(
+            int(origin[1:]) not in self.stores for store in self.stores.values() for origin in store.records
+        )
 
     def until_alike(self, most: float) -> float:
         began = self.now
@@ -168,9 +178,18 @@
 
 
 TOLD = st.tuples(
-    st.sampled_from(["n1", "n2", "n0"]), LIVES, st.integers(-1, 9), st.integers(-1, 9), st.floats(-1, 20),
-    st.lists(st.tuples(st.sampled_from(["", "a", "b"]), st.integers(0, 9), st.one_of(
-        st.none(), st.binary(max_size=3))), max_size=3))
+    st.sampled_from(["n1", "n2", "n0"]),
+    LIVES,
+    st.integers(-1, 9),
+    st.integers(-1, 9),
+    st.floats(-1, 20),
+    st.lists(
+        st.tuples(
+            st.sampled_from(["", "a", "b"]), st.integers(0, 9), st.one_of(st.none(), st.binary(max_size=3))
+        ),
+        max_size=3,
+    ),
+)
 
 
 @given(st.lists(TOLD, max_size=20))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,8 +11,28 @@
 
 from grebeproxy import Choice, Settings
 from grebeproxy.policy.interface import (
-    AttemptBudget, AttemptEnded, Cancel, Effect, Engine, EngineList, EngineState, Fail, Gone, Kind, ListKind,
-    Outcome, Probe, Probed, Progress, ProgressKind, Query, Refuse, Scope, Send, TimerFired)
+    AttemptBudget,
+    AttemptEnded,
+    Cancel,
+    Effect,
+    Engine,
+    EngineList,
+    EngineState,
+    Fail,
+    Gone,
+    Kind,
+    ListKind,
+    Outcome,
+    Probe,
+    Probed,
+    Progress,
+    ProgressKind,
+    Query,
+    Refuse,
+    Scope,
+    Send,
+    TimerFired,
+)
 
 ONCE = replace(LOAD, name="once", effect=Effect.UNSAFE, in_order=True)
 
@@ -93,8 +113,9 @@
         gateway = Gateway(only(replace(LOAD, scope=scope), zones=("a", "b")), engines=0)
         gateway.tell(Engine("e0", "medium", "a", 0), Engine("e1", "medium", "b", 1))
         [send] = sends(gateway.ask("load", wait=8.0, work=1.0, id="x"))
-        gateway.tell(replace(gateway.choice.nodes[send.engine].entry, state=EngineState.DRAINING),
-                     how=ListKind.CHANGES)
+        gateway.tell(
+            replace(gateway.choice.nodes[send.engine].entry, state=EngineState.DRAINING), how=ListKind.CHANGES
+        )
         assert not sends(gateway.end(send, Outcome.ERROR))
         ends = [a for i in range(100) for a in finals(gateway.sweep(100.0 + i * 0.08))]
         assert [type(a) for a in ends] == [Fail]
@@ -199,8 +220,12 @@
 
 def test_a_bound_class_waits_or_ends_when_its_engines_are_down() -> None:
     bound = replace(LONG, only_kinds=frozenset({"big"}), only_zones=frozenset({"a"}))
-    gateway = Gateway(make_settings(classes=(SHORT, bound), zones=("a", "b"),
-                                    kinds=(Kind("medium", 8.0), Kind("big", 12.0))), engines=0)
+    gateway = Gateway(
+        make_settings(
+            classes=(SHORT, bound), zones=("a", "b"), kinds=(Kind("medium", 8.0), Kind("big", 12.0))
+        ),
+        engines=0,
+    )
     gateway.tell(Engine("m", "medium", "a"), Engine("b-big", "big", "b"))
     assert not sends(gateway.ask("long", wait=20.0, work=1.0))
     actions = gateway.tell(Engine("a-big", "big", "a"), how=ListKind.CHANGES)
@@ -225,21 +250,29 @@
 
 @st.composite
 def days(draw: st.DrawFn) -> list[tuple[str, int, int]]:
-    kinds = st.sampled_from(["query", "query", "query", "end", "end", "gone", "list", "timer", "probed",
-                             "note"])
+    kinds = st.sampled_from(
+        ["query", "query", "query", "end", "end", "gone", "list", "timer", "probed", "note"]
+    )
     return draw(st.lists(st.tuples(kinds, st.integers(0, 999), st.integers(0, 400)), max_size=80))
 
 
 @settings(max_examples=120)
 @given(days(), st.booleans(), st.booleans())
-def test_any_legal_events_keep_the_rules(day: list[tuple[str, int, int]], may_cancel: bool,
-                                         asks: bool) -> None:
+def test_any_legal_events_keep_the_rules(
+    day: list[tuple[str, int, int]], may_cancel: bool, asks: bool
+) -> None:
     budget = AttemptBudget(window=2.0, floor=1.0, share=0.5)
     bound = replace(LONG, only_kinds=frozenset({"big"}))
     rules = replace(RULES, settle_time=0.3, attempt_budget=budget)
-    config = make_settings(classes=(SHORT, bound, LOAD, ONCE), kinds=(Kind("medium", 8.0), Kind("big", 12.0)),
-                           rules=rules, may_cancel=may_cancel, may_probe=asks,
-                           balancers=30 if asks else 1, progress_period=0.2 if asks else None)
+    config = make_settings(
+        classes=(SHORT, bound, LOAD, ONCE),
+        kinds=(Kind("medium", 8.0), Kind("big", 12.0)),
+        rules=rules,
+        may_cancel=may_cancel,
+        may_probe=asks,
+        balancers=30 if asks else 1,
+        progress_period=0.2 if asks else None,
+    )
     choice, now = Choice(config, 0.0, 3), 0.0
     fleet = [Engine(f"e{i}", "big" if i % 2 else "medium") for i in range(4)]
     state = {e.id: EngineState.UP for e in fleet}
@@ -316,8 +349,13 @@
             finish(query_id, Outcome.TIMEOUT)
         if what == "query":
             name = ("short", "long", "load", "once")[number % 4]
-            query = Query(f"q{len(queries)}", name, now + 1.0 + number / 100.0, work=0.05 * (1 + number % 9),
-                          key=f"k{number % 3}" if name == "once" else None)
+            query = Query(
+                f"q{len(queries)}",
+                name,
+                now + 1.0 + number / 100.0,
+                work=0.05 * (1 + number % 9),
+                key=f"k{number % 3}" if name == "once" else None,
+            )
             queries[query.id], attempts[query.id], answered[query.id] = query, [], 0
             if query.key:
                 ordered.setdefault(query.key, []).append(query.id)
@@ -340,8 +378,20 @@
             check(choice.handle(now, [Probed(fleet[number % 4].id, number / 20000.0, how)]))
         elif what == "note" and out:
             query_id = sorted(out)[number % len(out)]
-            check(choice.handle(now, [Progress(query_id, out[query_id][0], out[query_id][1],
-                                               ProgressKind.SHARE_DONE, number / 1000.0)]))
+            check(
+                choice.handle(
+                    now,
+                    [
+                        Progress(
+                            query_id,
+                            out[query_id][0],
+                            out[query_id][1],
+                            ProgressKind.SHARE_DONE,
+                            number / 1000.0,
+                        )
+                    ],
+                )
+            )
         elif what == "timer":
             check(choice.handle(now, [TimerFired("sweep")]))
     while now < max((q.due for q in queries.values()), default=0.0) + 0.1:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,15 @@
 
 from grebeproxy import Choice
 from grebeproxy.policy.interface import (
-    Engine, EngineList, EngineState, Kind, ListKind, Outcome, SetTimer, Tenant)
+    Engine,
+    EngineList,
+    EngineState,
+    Kind,
+    ListKind,
+    Outcome,
+    SetTimer,
+    Tenant,
+)
 
 FLEET = 34
 
@@ -191,8 +199,9 @@
 def test_a_popular_data_set_jams_no_engine_however_many_gateways_ask_for_it(balancers: int) -> None:
     # Six is the first number at which a share of an engine, 16 threads, is less than the widest query's 3.
     steps = 24 * 120 // balancers
-    got = sum((chosen(gateway_of(balancers, n), steps, cls="load", data_set=3) for n in range(balancers)),
-              Counter())
+    got = sum(
+        (chosen(gateway_of(balancers, n), steps, cls="load", data_set=3) for n in range(balancers)), Counter()
+    )
     assert got.total() == 480 and max(got.values()) < 2.2 * got.total() / FLEET
 
 
@@ -236,6 +245,8 @@
 
 
 def test_gateways_with_the_same_seed_do_not_choose_alike() -> None:
-    first = [tuple(send.engine for _ in range(6) for send in sends(gateway.ask(work=0.1)))
-             for gateway in (gateway_of(200, index) for index in range(40))]
+    first = [
+        tuple(send.engine for _ in range(6) for send in sends(gateway.ask(work=0.1)))
+        for gateway in (gateway_of(200, index) for index in range(40))
+    ]
     assert len(set(first)) == 40
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -12,28 +12,45 @@
 from grebeproxy.shapes.scanner import MOST_SCANNED
 
 LITERALS = st.one_of(
-    st.integers(-10**9, 10**9).map(str), st.floats(0, 1e6).map(lambda f: f"{f:.3f}"),
-    st.text(st.characters(codec="utf-8"), max_size=20).map(lambda t: "'" + t.replace("'", "''") + "'"))
+    st.integers(-(10**9), 10**9).map(str),
+    st.floats(0, 1e6).map(lambda f: f"{f:.3f}"),
+    st.text(st.characters(codec="utf-8"), max_size=20).map(lambda t: "'" + t.replace("'", "''") + "'"),
+)
 TABLES = ("orders", "items", "readers")
 
 
-def statement(table: str, joined: str | None, columns: tuple[str, ...], value: str, values: list[str],
-              group: int, grouped: bool, limit: int) -> str:
+def statement(
+    table: str,
+    joined: str | None,
+    columns: tuple[str, ...],
+    value: str,
+    values: list[str],
+    group: int,
+    grouped: bool,
+    limit: int,
+) -> str:
     join = f" JOIN dim_{group}.{joined} d ON d.id = t.id" if joined else ""
     tail = " GROUP BY t.k" if grouped else ""
-    return (f"SELECT {', '.join(columns)} FROM sales_{group}.{table} t{join} WHERE t.a = {value} "
-            f"AND t.b IN ({', '.join(values)}){tail} ORDER BY 1 LIMIT {limit}")
-
-
-PARTS = st.tuples(st.sampled_from(TABLES), st.none() | st.sampled_from(TABLES),
-                  st.sampled_from([("t.k",), ("t.k", "count(*)"), ("t.k", "sum(t.n)"), ("t.k", "t.n")]),
-                  st.booleans())
-FILLING = st.tuples(LITERALS, st.lists(LITERALS, min_size=1, max_size=9), st.integers(0, 999),
-                    st.integers(0, 10**6))
-
-
-def fill(parts: tuple[str, str | None, tuple[str, ...], bool],
-         filling: tuple[str, list[str], int, int]) -> bytes:
+    return (
+        f"SELECT {', '.join(columns)} FROM sales_{group}.{table} t{join} WHERE t.a = {value} "
+        f"AND t.b IN ({', '.join(values)}){tail} ORDER BY 1 LIMIT {limit}"
+    )
+
+
+PARTS = st.tuples(
+    st.sampled_from(TABLES),
+    st.none() | st.sampled_from(TABLES),
+    st.sampled_from([("t.k",), ("t.k", "count(*)"), ("t.k", "sum(t.n)"), ("t.k", "t.n")]),
+    st.booleans(),
+)
+FILLING = st.tuples(
+    LITERALS, st.lists(LITERALS, min_size=1, max_size=9), st.integers(0, 999), st.integers(0, 10**6)
+)
+
+
+def fill(
+    parts: tuple[str, str | None, tuple[str, ...], bool], filling: tuple[str, list[str], int, int]
+) -> bytes:
     table, joined, columns, grouped = parts
     value, values, group, limit = filling
     return statement(table, joined, columns, value, values, group, grouped, limit).encode()
@@ -41,44 +58,53 @@
 
 @given(parts=PARTS, one=FILLING, other=FILLING)
 def test_statements_that_differ_in_literals_and_group_share_a_shape(
-        parts: tuple[str, str | None, tuple[str, ...], bool],
-        one: tuple[str, list[str], int, int], other: tuple[str, list[str], int, int]) -> None:
+    parts: tuple[str, str | None, tuple[str, ...], bool],
+    one: tuple[str, list[str], int, int],
+    other: tuple[str, list[str], int, int],
+) -> None:
     assert shape_of(fill(parts, one)) is not None
     assert shape_of(fill(parts, one)).digest == shape_of(fill(parts, other)).digest  # type: ignore[union-attr]
 
 
 @given(one=PARTS, other=PARTS, filling=FILLING)
 def test_statements_that_differ_in_a_table_a_join_or_an_aggregate_do_not(
-        one: tuple[str, str | None, tuple[str, ...], bool],
-        other: tuple[str, str | None, tuple[str, ...], bool],
-        filling: tuple[str, list[str], int, int]) -> None:
+    one: tuple[str, str | None, tuple[str, ...], bool],
+    other: tuple[str, str | None, tuple[str, ...], bool],
+    filling: tuple[str, list[str], int, int],
+) -> None:
     first, second = shape_of(fill(one, filling)), shape_of(fill(other, filling))
     assert first and second and (first.digest == second.digest) is (one == other)
 
 
-@pytest.mark.parametrize(("one", "other"), [
-    ("SELECT a FROM ops_3.t", "select  A\n FROM ops_71.t -- all of it"),
-    ("SELECT a FROM ops_3.t;", "SELECT /* x /* y */ z */ a FROM ops_3 . t"),
-    ("SELECT a FROM t WHERE b = 5", "SELECT a FROM t WHERE b = -5.5e3"),
-    ("SELECT a FROM t WHERE b = 5", "SELECT a FROM t WHERE b = 'it''s -- no comment'"),
-    ("SELECT a FROM t WHERE b = 5", "SELECT a FROM t WHERE b = $tag$x' y$tag$"),
-    ("SELECT a FROM t WHERE b IN (1)", "SELECT a FROM t WHERE b IN ($1, $2, :three, 4)"),
-    ("INSERT INTO t VALUES (1, 'a')", "INSERT INTO t VALUES (1, 'a'), (2, 'b'), (-3, 'c')"),
-    ('SELECT "a" FROM t', "SELECT a FROM t"),
-])
+@pytest.mark.parametrize(
+    ("one", "other"),
+    [
+        ("SELECT a FROM ops_3.t", "select  A\n FROM ops_71.t -- all of it"),
+        ("SELECT a FROM ops_3.t;", "SELECT /* x /* y */ z */ a FROM ops_3 . t"),
+        ("SELECT a FROM t WHERE b = 5", "SELECT a FROM t WHERE b = -5.5e3"),
+        ("SELECT a FROM t WHERE b = 5", "SELECT a FROM t WHERE b = 'it''s -- no comment'"),
+        ("SELECT a FROM t WHERE b = 5", "SELECT a FROM t WHERE b = $tag$x' y$tag$"),
+        ("SELECT a FROM t WHERE b IN (1)", "SELECT a FROM t WHERE b IN ($1, $2, :three, 4)"),
+        ("INSERT INTO t VALUES (1, 'a')", "INSERT INTO t VALUES (1, 'a'), (2, 'b'), (-3, 'c')"),
+        ('SELECT "a" FROM t', "SELECT a FROM t"),
+    ],
+)
 def test_these_share_a_shape(one: str, other: str) -> None:
     first, second = shape_of(one.encode()), shape_of(other.encode())
     assert first and second and first.text == second.text
 
 
-@pytest.mark.parametrize(("one", "other"), [
-    ("SELECT a - 5 FROM t", "SELECT a + 5 FROM t"),
-    ('SELECT "A" FROM t', "SELECT a FROM t"),
-    ("SELECT a FROM staging_1.t", "SELECT a FROM ops_1.t"),
-    ("SELECT a FROM t WHERE b = 'FROM u'", "SELECT a FROM t WHERE b = u"),
-    ("SELECT a FROM t WHERE b IN (1, 2)", "SELECT a FROM t WHERE b IN (SELECT 1)"),
-    ("SELECT a::text FROM t", "SELECT a FROM t"),
-])
+@pytest.mark.parametrize(
+    ("one", "other"),
+    [
+        ("SELECT a - 5 FROM t", "SELECT a + 5 FROM t"),
+        ('SELECT "A" FROM t', "SELECT a FROM t"),
+        ("SELECT a FROM staging_1.t", "SELECT a FROM ops_1.t"),
+        ("SELECT a FROM t WHERE b = 'FROM u'", "SELECT a FROM t WHERE b = u"),
+        ("SELECT a FROM t WHERE b IN (1, 2)", "SELECT a FROM t WHERE b IN (SELECT 1)"),
+        ("SELECT a::text FROM t", "SELECT a FROM t"),
+    ],
+)
 def test_these_do_not(one: str, other: str) -> None:
     first, second = shape_of(one.encode()), shape_of(other.encode())
     assert first and second and first.text != second.text
@@ -102,10 +128,21 @@
     assert shape_of(statement) is None
 
 
-@pytest.mark.parametrize("statement", [
-    b"(" * MOST_SCANNED, b"'" * (MOST_SCANNED - 1), b'"' * (MOST_SCANNED - 1), b"/*" * (MOST_SCANNED // 2),
-    b"$a" * (MOST_SCANNED // 2), b"$$" * (MOST_SCANNED // 2), b"1e" * (MOST_SCANNED // 2), b"(1)," * 4000,
-    b"-" * MOST_SCANNED, b"\xff" * MOST_SCANNED])
+@pytest.mark.parametrize(
+    "statement",
+    [
+        b"(" * MOST_SCANNED,
+        b"'" * (MOST_SCANNED - 1),
+        b'"' * (MOST_SCANNED - 1),
+        b"/*" * (MOST_SCANNED // 2),
+        b"$a" * (MOST_SCANNED // 2),
+        b"$$" * (MOST_SCANNED // 2),
+        b"1e" * (MOST_SCANNED // 2),
+        b"(1)," * 4000,
+        b"-" * MOST_SCANNED,
+        b"\xff" * MOST_SCANNED,
+    ],
+)
 def test_the_worst_statement_is_read_in_bounded_time(statement: bytes) -> None:
     began = time.process_time()
     shape_of(statement)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -20,8 +20,14 @@
 
 def started() -> Router:
     config = parse(with_changes({}))
-    router = Router(config.settings, config.limits, changelog=config.changelog, seed=1, now=0.0,
-                    bounds=admission.bounds(config.sockets, config.memory_mb))
+    router = Router(
+        config.settings,
+        config.limits,
+        changelog=config.changelog,
+        seed=1,
+        now=0.0,
+        bounds=admission.bounds(config.sockets, config.memory_mb),
+    )
     assert LISTEN not in router.start(0.0)
     return router
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -22,15 +22,27 @@
 
     def __init__(self, way: float) -> None:
         config = parse(with_changes({}))
-        known = [News(1, api.EngineList(api.ListKind.FULL, (
-            api.Engine("s-00000001", "typ-a", "room-1"),), 1), ADDRESS)]
+        known = [
+            News(
+                1,
+                api.EngineList(api.ListKind.FULL, (api.Engine("s-00000001", "typ-a", "room-1"),), 1),
+                ADDRESS,
+            )
+        ]
         self.now, self.way, self.number, self.runs = 0.0, way, 0, 0
         self.log: list[News] = []
         self.answers: list[tuple[float, list[News]]] = []  # what is on its way to the router
         self.broken_until, self.dials = 0.0, 0
         self.hanging = 0  # dials to come that never come up
-        self.router = Router(config.settings, config.limits, changelog=config.changelog, seed=1, now=0.0,
-                             known=known, bounds=admission.bounds(config.sockets, config.memory_mb))
+        self.router = Router(
+            config.settings,
+            config.limits,
+            changelog=config.changelog,
+            seed=1,
+            now=0.0,
+            known=known,
+            bounds=admission.bounds(config.sockets, config.memory_mb),
+        )
         self.carry_out(self.router.start(0.0))
 
     def carry_out(self, effects: list[events.Effect]) -> None:
@@ -63,8 +75,13 @@
                 told.append(events.LogSaid(News(self.log[-1].seq if self.log else 1)))
             if round(self.now * 100) % 2 == 0:
                 self.number += 1
-                told += [events.ClientOpened(self.number), events.ClientSaid(self.number, Call(
-                    self.number, f"{self.number:016x}", "lookup", 0.4, b"", tenant="city"))]
+                told += [
+                    events.ClientOpened(self.number),
+                    events.ClientSaid(
+                        self.number,
+                        Call(self.number, f"{self.number:016x}", "lookup", 0.4, b"", tenant="city"),
+                    ),
+                ]
             self.carry_out(self.router.step(self.now, told))
 
     def drains(self) -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -62,9 +62,18 @@
         descriptor = self.listener.fileno()
         log = self.path.with_name(f"log{len(self.processes)}").open("w")
         process = subprocess.Popen(
-            [sys.executable, "-m", "grebeproxy"], text=True, pass_fds=[descriptor], stderr=log,
-            env={**os.environ, "BALANCER_CONFIG": str(self.path), "BALANCER_SOCKET_FD": str(descriptor),
-                 "BALANCER_ADMIN": admin, "TMPDIR": str(self.shared)})
+            [sys.executable, "-m", "grebeproxy"],
+            text=True,
+            pass_fds=[descriptor],
+            stderr=log,
+            env={
+                **os.environ,
+                "BALANCER_CONFIG": str(self.path),
+                "BALANCER_SOCKET_FD": str(descriptor),
+                "BALANCER_ADMIN": admin,
+                "TMPDIR": str(self.shared),
+            },
+        )
         self.processes.append(process)
         until = time.monotonic() + 30
         while time.monotonic() < until:
--- a/tests/voters.py
+++ b/tests/voters.py
@@ -9,7 +9,20 @@
 from typing import Any
 
 from grebeproxy.membership.lease import (
-    DRIFT, Event, Fence, Held, Leases, Over, Refused, Tell, Token, ViewSeen, VoteHeard, Wanted, Woken)
+    DRIFT,
+    Event,
+    Fence,
+    Held,
+    Leases,
+    Over,
+    Refused,
+    Tell,
+    Token,
+    ViewSeen,
+    VoteHeard,
+    Wanted,
+    Woken,
+)
 from grebeproxy.membership.model import Condition, View, Wake
 
 LEASE, LENGTH = "duty", 2.0
