--- a/tests/lab.py
+++ b/tests/lab.py
@@ -16,6 +16,7 @@
 import threading
 import time
 from collections.abc import Callable
+from functools import partial
 from pathlib import Path
 from random import Random
 from typing import Any, cast
@@ -83,9 +84,8 @@
     async def listen(self) -> tuple[list[int], int]:
         ports = []
         for m in range(self.n):
-            transport, _ = await self.loop.create_datagram_endpoint(
-                lambda m=m: Relay(self, m), ("127.0.0.1", 0)
-            )  # type: ignore[misc]
+            relay = partial(Relay, self, m)
+            transport, _ = await self.loop.create_datagram_endpoint(relay, ("127.0.0.1", 0))
             ports.append(transport.get_extra_info("sockname")[1])
         server = await asyncio.start_server(self.take, "127.0.0.1", 0)
         return ports, server.sockets[0].getsockname()[1]
