--- /dev/null
+++ b/grebeproxy/lab/__main__.py
@@ -0,0 +1,14 @@
+"""Command line of the lab: ``python -m grebeproxy.lab``."""
+
+from __future__ import annotations
+
+import click
+
+
+@click.group(context_settings={"help_option_names": ["-h", "--help"]})
+def main() -> None:
+    """Measure the project at fleet size, and check the capacity page against the measurements."""
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/grebeproxy/lab/scale/__init__.py
@@ -0,0 +1,1 @@
+"""Runs of many routers and engines on one machine."""
