--- a/grebeproxy/policy/books.py
+++ b/grebeproxy/policy/books.py
@@ -4,16 +4,22 @@
 
 from bisect import bisect_left
 from collections import defaultdict
+from collections.abc import Iterable
+from dataclasses import replace
 from random import Random
 
-from grebeproxy.policy.dealing import agreed
+from grebeproxy.policy.dealing import Ring, Seats
 from grebeproxy.policy.interface import (
     Action,
+    Cancel,
     Engine,
     EngineList,
     EngineState,
     Kind,
     ListKind,
+    Progress,
+    ProgressKind,
+    Query,
     QueryClass,
     Settings,
 )
@@ -37,10 +43,8 @@
     pause: float  # seconds between looks at what is held
     slot: float  # seconds for which a cold engine is dealt at once
     rng: Random
-    asked: Flow  # queries
-    loads: Flow  # seconds that loads run
 
-    def __init__(self, now: float, sets: Flows) -> None:
+    def __init__(self, now: float, over: float, most_sets: int) -> None:
         self.now = self.began = self.surveyed = now
         self.out: list[Action] = []
         self.armed = False
@@ -65,13 +69,18 @@
         self.memory = 0.0
         self.threads = self.granted = 0.0  # ours that are out
         self.alike = 1.0  # how far ours tell what other gateways do
-        self.ring: list[str] = []  # engines listed as up, in the agreed order
-        self.near: set[str] = set()  # the engines that we keep to, where gateways are many
+        self.listing: dict[str, Engine] = {}  # all engines that the list names, worked with or not
+        self.rings: list[Ring] = []  # engines listed as up: all, and those that fit what is asked of some
+        self.seats = Seats(1, 0)
+        self.refit = True  # the engines to work with are to be chosen anew
+        self.near: set[str] = set()  # of those, the ones of the window that we have by our traffic
+        self.size = self.widening = 0  # how many of them are wanted, and beyond that while few are reliable
+        self.spare: list[str] = []  # those beyond that
         self.cold_able = self.cold_part = 0.0  # cores' worth that cold ones of those do, and as a part of all
         self.weights: list[float] = []  # what a query of each class is taken to weigh on a cold engine
         self.heavy = 1.0  # and what is dealt of such an engine at once
         self.part = 1.0  # our traffic over the mean gateway's
-        self.sharing = 1.0  # gateways that share an engine, where they are many
+        self.sharing = 1.0  # gateways that share an engine, on the mean
         self.pool = 1.0  # how slow the engines are, over all answers
         self.fill = 0.0  # part of our share of the memory that is granted, over some time
         self.long_lately = 0.0  # our threads of long classes that are out, over some time
@@ -79,7 +88,8 @@
         self.paces = [1.0, 1.0]  # how slow warm engines and cold ones are for what they can do
         self.first_left = Majority()  # part of the deadline that clients' first tries have
         self.faults = 0.0
-        self.sets = sets  # queries by data sets asked for
+        self.sets = Flows(over, most_sets)  # queries by data sets asked for
+        self.asked, self.loads = Flow(now, over), Flow(now, over)  # queries, and seconds that loads run
         self.homes: dict[int, tuple[float, dict[str, int]]] = {}  # home engines by data set, of this moment
         self.taken, self.extra = Window(), Window()  # queries, and attempts beyond a first
 
@@ -95,6 +105,7 @@
             else None
             for place, c in zip(places, order, strict=True)
         ]
+        self.last, self.tight = len(order) - 1, order[0]
         self.prior = usual
         self.usual = [u if at is None else self.usual[at] for at, u in zip(same, usual, strict=True)]
         self.pools = [1.0 if at is None else self.pools[at] for at in places]
@@ -110,6 +121,8 @@
             job.rank = self.rank.get(job.cls.name, at)
             if job.node is not None:
                 job.node.book(job, 1)
+        runs = [u / c.threads for u, c in zip(self.usual, order, strict=True) if c.holds_data_set]
+        self.hold = max(runs, default=0.0)  # so long what stood still behind one keeps others away
         waiting = [job for queue in self.held for job in queue]
         self.held = [[job for job in waiting if job.rank == rank] for rank in range(len(order))]
         sizes = {kind.name: kind for kind in kinds}
@@ -117,39 +130,109 @@
             if e.entry.kind in sizes:
                 e.cores, e.memory = sizes[e.entry.kind].cores, sizes[e.entry.kind].memory_mb
 
-    def listed(self, news: EngineList, kinds: tuple[Kind, ...]) -> None:
+    def listed(self, news: EngineList) -> None:
         """Book what the list says of engines; one that has started since is cold, and is tried at once."""
-        names = {entry.id for entry in news.engines}
-        for e in self.nodes.values():
-            if news.how is not ListKind.CHANGES and e.entry.id not in names:
-                e.entry = Engine(e.entry.id, e.entry.kind, e.entry.zone, e.entry.cell, EngineState.GONE)
-        for entry in news.engines:
+        entries = {entry.id: entry for entry in news.engines}
+        for known in () if news.how is ListKind.CHANGES else [id for id in self.listing if id not in entries]:
+            entries[known] = replace(self.listing[known], state=EngineState.GONE, started=None)
+        for entry in entries.values():
             node = self.nodes.get(entry.id)
-            if node is None:
-                kind = next((k for k in kinds if k.name == entry.kind), kinds[0])
-                node = self.nodes[entry.id] = Node(entry, kind.cores, kind.memory_mb)
-                node.slow, node.heard = self.pool, self.now
-            if entry.started is not None and entry.started > (node.cold_since or 0.0):
-                node.restarted(entry.started, self.now)
-            node.entry = entry
-        self._rerung()
+            if node is not None and (entry.started or 0.0) > (node.cold_since or 0.0):
+                node.restarted(entry.started or 0.0, self.now)
+            if node is not None:
+                node.entry = entry
+            if entry.state is EngineState.GONE:
+                self.listing.pop(entry.id, None)
+            else:
+                self.listing[entry.id] = entry
+            for ring in self.rings:
+                ring.keep(entry)
+        self.refit = True
 
     def handed(self, out: frozenset[str]) -> None:
         """Book what operators took out; what they give back was restarted meanwhile."""
-        for e in (self.nodes[engine] for engine in self.by_hand - out if engine in self.nodes):
-            e.restarted(self.now, self.now)
-            e.ejected_at, e.faults, e.backoff, e.unreachable, e.still = None, 0.0, 0.0, False, 0
-            e.heard, e.slow = self.now, self.pool
+        for engine in self.by_hand - out & self.listing.keys():
+            self.listing[engine] = replace(self.listing[engine], started=self.now)
+            if (e := self.nodes.get(engine)) is not None:
+                e.restarted(self.now, self.now)
+                e.ejected_at, e.faults, e.backoff, e.unreachable, e.still = None, 0.0, 0.0, False, 0
+                e.heard, e.slow = self.now, self.pool
         self.by_hand = out
-        self._rerung()
+        self.refit = True
+
+    def seated(self, fits: Iterable[tuple[frozenset[str] | None, frozenset[str] | None]]) -> None:
+        """Find the gateways' places; keep a ring of all engines, and one for each pair of zones and kinds."""
+        self.seats = Seats(self.s.balancers, self.s.index)
+        self.rings = [Ring(*fit) for fit in dict.fromkeys([(None, None), *fits])]
+        for ring in self.rings:
+            ring.fill(self.listing.values())
+        self.refit = True
+
+    def take_all(self) -> None:
+        """Work with all engines, as all gateways do."""
+        self.near, self.spare, self.sharing = set(self.listing), [], float(self.s.balancers)
+        self._work_with(self.listing)
+        for e in self.nodes.values():
+            e.sharers, e.number = self.s.balancers, self.s.index
+
+    def take_window(self, base: int) -> None:
+        """Work with the next engines from our place on, and with as many of each other ring.
+
+        Who shares an engine of the first ``base`` ones is known, as all gateways have so many; ``number`` is
+        ours among them. For the rest ``sharers`` is the mean, and ``number`` stays negative.
+        """
+        ring, place = self.rings[0], self.seats.place
+        near = ring.window(place, 0, self.size)
+        fitting = [engine for fit in self.rings[1:] for engine in fit.window(place, 0, self.size)]
+        self.near, self.spare = set(near), ring.window(place, self.size, self.widening)
+        self._work_with([*near, *fitting, *self.spare])
+        self.sharing = self.s.balancers * min(1.0, base / max(1, len(ring)))
+        for e in self.nodes.values():
+            e.sharers, e.number = max(1, round(self.sharing)), -1
+        for engine in near[:base]:
+            e = self.nodes[engine]
+            e.sharers, e.number = self.seats.sharers(ring.rank(engine), base, len(ring))
 
-    def _rerung(self) -> None:
-        """Put the engines that are usable now in the agreed order."""
-        self.ring = agreed(e.entry.id for e in self.nodes.values() if self.usable(e))
+    def _work_with(self, engines: Iterable[str]) -> None:
+        """Keep a record of these engines and of those where something is out, and of no other."""
+        for e in self.nodes.values():
+            e.member = False
+        for engine in engines:
+            if engine not in self.nodes:
+                self.nodes[engine] = self._met(self.listing[engine])
+            self.nodes[engine].member = True
+        if self.many:
+            self.forget()
+        self.refit = False
+
+    def _met(self, entry: Engine) -> Node:
+        """The record of an engine that is new to us."""
+        kind = next((kind for kind in self.s.kinds if kind.name == entry.kind), self.s.kinds[0])
+        node = Node(entry, kind.cores, kind.memory_mb)
+        node.slow, node.heard = self.pool, self.now
+        if entry.started is not None:
+            node.restarted(entry.started, self.now)
+        return node
+
+    def weigh(self, wary: float, part: float) -> None:
+        """What a query of each class weighs on a cold engine, and how much of it is dealt at once."""
+        learned = zip(self.prior, self.seen, self.usual, strict=True)
+        self.weights = [(wary * p + seen * usual) / (1 + seen) for p, seen, usual in learned]
+        known = [w for w, asked in zip(self.weights, self.seen, strict=True) if asked] or self.weights
+        self.heavy = part * max(known)
+
+    def billed(self, job: Job, work: float | None, memory: float | None, keep: float, most: float) -> None:
+        """Learn what an answer cost, by the estimates and beside them; a bill counts for so many of those."""
+        for ratio, bill, estimate in (
+            (self.costs[job.rank], work, job.query.work),
+            (self.memories[job.rank], memory, job.query.memory_mb),
+        ):
+            if bill and estimate:
+                ratio.learn(min(bill, most * estimate), estimate, keep)
 
     def usable(self, e: Node) -> bool:
-        """Listed as up, and not taken out by hand."""
-        return e.entry.state is EngineState.UP and e.entry.id not in self.by_hand
+        """Worked with, listed as up, and not taken out by hand."""
+        return e.member and e.entry.state is EngineState.UP and e.entry.id not in self.by_hand
 
     def ready(self) -> list[Job]:
         """What is held but for its engine: a query behind another of its key is no sign of crowding."""
@@ -172,6 +255,25 @@
                 if not job.turn:  # keys are ever new
                     self.turns.pop(job.query.key or "", None)
 
+    def cancel(self, job: Job) -> None:
+        """Call off the attempt that is out."""
+        job.cancelled = True
+        self.out.append(Cancel(job.id, job.attempts - 1))
+
+    def progressed(self, note: Progress) -> None:
+        """Book a note on an attempt that is out."""
+        if (e := self.nodes.get(note.engine)) is not None:
+            e.heard = self.now
+            if (job := self.jobs.get(note.id)) and note.kind is ProgressKind.SHARE_DONE:
+                job.progressed(self.now, note.attempt, note.value)
+
+    def counted(self, query: Query, cls: QueryClass, work: float) -> None:
+        """Count a query into the flows of its data set, of all queries and of the time that loads run."""
+        self.sets.at(query.data_set, self.now).add(self.now, 1.0)
+        self.asked.add(self.now, 1.0)
+        if cls.holds_data_set:
+            self.loads.add(self.now, work / cls.threads)
+
     def draw(self) -> float:
         """0 to 1 where gateways are many, else nothing."""
         return self.rng.random() if self.many else 0.0
@@ -198,3 +300,10 @@
         self.long_lately += (1.0 - kept) * (long_threads - self.long_lately)
         self.pools, self.surveyed = [1.0 + (p - 1.0) * kept for p in self.pools], now
         self.pool = 1.0 + (self.pool - 1.0) * kept
+        for e in self.able:
+            e.settle(now, self.pool, kept)
+
+    def forget(self) -> None:
+        """Drop engines that are not worked with and keys that have rested: both come under ever new names."""
+        self.rest = {key: until for key, until in self.rest.items() if until > self.now}
+        self.nodes = {engine: e for engine, e in self.nodes.items() if e.member or e.out}
--- a/grebeproxy/policy/health.py
+++ b/grebeproxy/policy/health.py
@@ -1,12 +1,12 @@
 """The health of engines: which are left out, and what outcomes tell."""
 
-from grebeproxy.policy.interface import AttemptEnded, Cancel, Effect, Outcome
+from grebeproxy.policy.interface import AttemptEnded, Effect, Outcome
 from grebeproxy.policy.records import Job, Node
 from grebeproxy.policy.rules import Rules
 
 FAULTY = 0.3  # share of failing attempts, above twice the fleet's own, that ejects an engine
 PROBATION = 0.75 * FAULTY  # left to an engine that serves again: its next fault ejects it
-KEEP = 0.98  # weight kept by earlier bills at each new one
+KEEP, MOST_BILL = 0.98, 8  # weight kept by earlier bills at each new one, and its most over the estimate
 BAD = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
 
 
@@ -28,8 +28,7 @@
         for job in e.out.values() if self.s.may_cancel else ():
             if not (job.cancelled or job.answered or job.cls.effect is Effect.UNSAFE) and (
                     job.attempts < self.s.max_attempts):
-                job.cancelled = True
-                self.out.append(Cancel(job.id, job.attempts - 1))
+                self.cancel(job)
 
     def _count(self, e: Node, bad: bool) -> None:
         """Take one outcome into the share of faults, the engine's and the fleet's."""
@@ -93,10 +92,7 @@
         e.backoff, e.shut = max(self.tight.aim / 2, e.backoff * 0.9) if e.backoff else 0.0, 0.0
         if ev.work:
             self.usual[job.rank] += 0.03 * (ev.work - self.usual[job.rank])
-        for ratio, billed, told in ((self.costs[job.rank], ev.work, job.query.work),
-                                    (self.memories[job.rank], ev.memory_mb, job.query.memory_mb)):
-            if billed and told:
-                ratio.learn(min(billed, 8 * told), told, KEEP)
+        self.billed(job, ev.work, ev.memory_mb, KEEP, MOST_BILL)
         if job.query.data_set is not None and job.cls.waits_for_loads:
             e.held_until.pop(job.query.data_set, None)
         e.slow += weight * (slow - e.slow)
--- a/grebeproxy/policy/lifecycle.py
+++ b/grebeproxy/policy/lifecycle.py
@@ -1,7 +1,6 @@
 """The life of a query: taken, given up, called off, ended."""
 
-from grebeproxy.policy.interface import (
-    AttemptEnded, Cancel, Effect, EngineState, Fail, Outcome, Query, Refuse, Scope)
+from grebeproxy.policy.interface import AttemptEnded, Effect, Fail, Outcome, Query, Refuse, Scope
 from grebeproxy.policy.placement import PATIENCE
 from grebeproxy.policy.records import Job, Node
 from grebeproxy.policy.release import Release
@@ -24,19 +23,16 @@
         if not self.first_left.agrees((q.due - self.now) / cls.deadline, 0.005) or q.resent:
             began = min(began, q.due - cls.deadline)  # a repeat: its aim began with the client's first try
         self.seen[rank] += 1
-        self.sets.at(q.data_set, self.now).add(self.now, 1.0)
-        self.asked.add(self.now, 1.0)
         if q.work and not self.costs[rank].estimated:  # until answers bill, the mean estimate stands
             # Bounded: one estimate of an hour must not change what is thought of all others.
             self.usual[rank] += (min(q.work, 8 * self.usual[rank]) - self.usual[rank]) / self.seen[rank]
         work = self.costs[rank].correct(q.work) if q.work else self.usual[rank]
         memory = self.memories[rank].correct(q.memory_mb) if q.memory_mb else 0.0
-        if cls.holds_data_set:
-            self.loads.add(self.now, min(work, 8 * self.usual[rank]) / cls.threads)
-        first = began == self.now and not q.resent
+        self.counted(q, cls, min(work, 8 * self.usual[rank]))
         job = self.jobs[q.id] = Job(q, cls, rank, began, max(work, 1e-4), memory, self.draw())
         if q.tenant in self.shares:  # a repeat spends nothing: its first try did, or was past the share
-            job.over_share = not self.shares[q.tenant].take(self.now, first / self.part)
+            spent = (began == self.now and not q.resent) / self.part
+            job.over_share = not self.shares[q.tenant].take(self.now, spent)
         if cls.in_order and q.key is not None:
             job.turn = self.turns[q.key]
             job.turn.append(job)
@@ -49,8 +45,7 @@
         """The final answer, at once: a refusal where that may be promised to be harmless."""
         cls, most = job.cls, self.s.max_retry_after
         if job.node is not None and self.s.may_cancel and not job.cancelled:
-            job.cancelled = True
-            self.out.append(Cancel(job.id, job.attempts - 1))
+            self.cancel(job)
         if cls.effect is Effect.SAFE or (job.ran_at is None and job.node is None) or (
                 cls.effect is Effect.KEYED and cls.scope is Scope.ALL):
             wait = None if most is None else min(most, self.backlog() + self.tight.aim)
@@ -81,14 +76,11 @@
                 if not job.answered and not job.cls.late_share and self.now > job.aim_at(2.0):
                     self._give_up(job)  # nobody is served by it any more
                 elif not (job.answered or job.cancelled) and self._stuck(job, e):
-                    job.cancelled = True
-                    self.out.append(Cancel(job.id, job.attempts - 1))
+                    self.cancel(job)
         for job in [job for queue in self.held for job in queue]:
             if not self._worth(job):
                 self._give_up(job)
-        self.rest = {key: until for key, until in self.rest.items() if until > self.now}
-        for gone in [n for n, e in self.nodes.items() if e.entry.state is EngineState.GONE and not e.out]:
-            del self.nodes[gone]  # engines come under ever new ids
+        self.forget()
         if self._load() > 0:  # too much is held: what earns least for its work goes first
             for job in sorted(self.ready(), key=self._worth):
                 if self.backlog() <= self.patience:
@@ -110,9 +102,7 @@
             return False
         e.still += 1
         if job.cls.waits_for_loads and job.query.data_set is not None:
-            # What follows keeps away a while. Guards the memory: statements name ever new data sets.
-            e.held_until = {held: until for held, until in e.held_until.items() if until > self.now}
-            e.held_until[job.query.data_set] = self.now + self.hold
+            e.hold(job.query.data_set, self.now, self.now + self.hold)  # what follows keeps away a while
         return True
 
     def _ended(self, ev: AttemptEnded) -> None:
--- a/grebeproxy/policy/placement.py
+++ b/grebeproxy/policy/placement.py
@@ -4,10 +4,10 @@
 from math import exp
 
 from grebeproxy.policy.dealing import agreed
-from grebeproxy.policy.health import Health
 from grebeproxy.policy.interface import Probe
 from grebeproxy.policy.records import Job, Node
 from grebeproxy.policy.rules import PART, WARY
+from grebeproxy.policy.subset import Subset
 
 BOUND, LONG = 2.0, 0.75  # threads per core under pressure; part of them at which long classes stop
 PRESSURE = 1.4  # an engine shows pressure when its latency is this many times its best
@@ -18,11 +18,9 @@
 OWN = 1.5  # threads per core over which a gateway's preference among home engines goes
 AWAY = 7.0  # threads per core that each place beyond the home engines is worth to a load
 PROBES = 3  # engines probed before a long query goes to one of them
-NEAR, ROOMY = 16, 3.0  # engines that one of many keeps to, or so many times its part: connections cost
-MOST_PART = 8.0  # times the mean traffic that a gateway takes itself to have
 
 
-class Placement(Health):
+class Placement(Subset):
     """Placement: on which engine there is room for a query, and what each would cost it."""
 
     def _pressure(self, e: Node) -> bool:
@@ -34,7 +32,7 @@
         if not self._pressure(e):
             return True
         whole, threads = BOUND * e.cores * self._warmth(e), self.order[rank].threads
-        share, part = whole / self.s.balancers, LONG if rank else 1.0
+        share, part = whole / e.sharers, LONG if rank else 1.0
         if share * part < threads:  # departure: a share below one query is dealt in whole ones
             return len(e.out) < self._dealt(e, whole * part / threads)
         return e.threads < share and (not rank or e.long_threads < LONG * share)
@@ -53,8 +51,8 @@
 
     def _dealt(self, e: Node, whole: float) -> int:
         """Our part of so many queries of all gateways at an engine: whole ones, by turns all agree on."""
-        n, turn = self.s.balancers, self.s.index + zlib.crc32(e.entry.id.encode())
-        return int(whole) // n + (turn % n < int(whole) % n)
+        turn = e.number + zlib.crc32(e.entry.id.encode())
+        return int(whole) // e.sharers + (turn % e.sharers < int(whole) % e.sharers)
 
     def _cost(self, job: Job, e: Node) -> tuple[float, float]:
         """Threads per core, and what reading a data set afresh or overfilling the memory adds to them."""
@@ -63,12 +61,12 @@
         slow = max(1.0, min(4.0, max(e.slow, e.lag) / e.best))
         cost = self.s.prices.cross_zone * (e.entry.zone != self.s.zone) + (e is job.avoid)
         if e.memory:
-            granted = e.granted + (n - 1) * (alike * e.granted + mean * self.granted)
+            granted = e.granted + (e.sharers - 1) * alike * e.granted + (n - 1) * mean * self.granted
             cost += 4.0 * max(0.0, max(e.reported, granted / e.memory) + job.memory / e.memory - 0.9)
         if self.many:
             # Guards the fleet against an order that all share: popular data sets would jam the same engines.
             cost += (e.threads / e.cores + 1.0) * slow - self._cold(e)  # a cold one gets what is dealt
-            return round(cost + (e.entry.id not in self.near), 1), self.rng.random()
+            return round(cost + (e.entry.id not in self.near), 1), self.rng.expovariate(1.0 / e.sharers)
         threads = e.threads + (n - 1) * (alike * e.threads + mean * self.threads) + alike * job.cls.threads
         cost += threads / e.cores * slow / self._warmth(e)
         if data_set is not None:
@@ -97,32 +95,24 @@
 
     def _survey(self) -> None:
         n, now = self.s.balancers, self.now
+        self._choose_subset()
         self.up = [e for e in self.nodes.values() if self.usable(e)]
         able = self.able = [e for e in self.up if e.ejected_at is None]
         self.homes.clear()
-        learned = zip(self.prior, self.seen, self.usual, strict=True)
-        self.weights = [(WARY * p + seen * usual) / (1 + seen) for p, seen, usual in learned]
-        known = [w for w, asked in zip(self.weights, self.seen, strict=True) if asked] or self.weights
-        self.heavy = PART * max(known)
-        if self.many:  # busier than the mean as far as with every tenant: one may have a burst
-            self.part = min(MOST_PART, max(1.0, min([s.busier(now) for s in self.shares.values()] or [1.0])))
-            own = round(max(NEAR, ROOMY * len(self.up) / n) * self.part)
-            start = int(self.s.index / n * len(self.ring))  # one that comes or goes shifts the others by one
-            self.near = set((2 * self.ring)[start:start + own])
-            self.sharing = n / max(1.0, len(self.up) / own)
-            near = [e for e in able if e.entry.id in self.near]
-            self.cold_able = sum(e.cores * self._warmth(e) for e in near if self._cold(e))
-            cold, warm = self.cold_able / self.paces[1], sum(e.cores for e in near if not self._cold(e))
-            self.cold_part = cold / (cold + warm / self.paces[0] or 1.0)
-        self.cores = sum(e.cores * self._warmth(e) for e in able) * self.part / n or 1.0
-        self.memory = sum(e.memory for e in able) * self.part / n
+        self.weigh(WARY, PART)
+        cold = [e for e in able if e.number >= 0 and self._cold(e)]
+        self.cold_able = sum(e.cores * self._warmth(e) / e.sharers for e in cold)
+        freshly = sum(e.cores * self._warmth(e) for e in cold) / self.paces[1]
+        warm = sum(e.cores for e in able if e.number >= 0 and not self._cold(e)) / self.paces[0]
+        self.cold_part = freshly / (freshly + warm or 1.0)
+        of_all = len(self.rings[0]) / max(1, len(self.up)) if self.many else 1.0  # engines, over those we see
+        self.cores = sum(e.cores * self._warmth(e) for e in able) * self.part / n * of_all or 1.0
+        self.memory = sum(e.memory for e in able) * self.part / n * of_all
         mean = sum(len(e.out) for e in able) / max(1, len(able))
         self.alike = max(1.0 / n, mean / (1.0 + mean))
         # An engine's slowness fades to the pool's, the pool's to none, or refusing for it would never end.
         kept = exp((self.surveyed - now) / (PATIENCE * self.tight.aim))
         self.fade(now, kept, sum(e.long_threads for e in self.summed()))
-        for e in able:
-            e.settle(now, self.pool, kept)
 
     def _pick(self, job: Job, able: list[Node]) -> Node | None:
         """The engine of least cost; departure: of the few cheapest for a long query the first probe back."""
--- a/grebeproxy/policy/records.py
+++ b/grebeproxy/policy/records.py
@@ -54,6 +54,8 @@
 
     def __init__(self, entry: Engine, cores: float, memory: float) -> None:
         self.entry, self.cores, self.memory = entry, cores, memory
+        self.member = True  # of the engines that this gateway works with
+        self.sharers, self.number = 1, 0  # gateways that work with it, and ours among those
         self.out: dict[str, Job] = {}
         self.threads = self.long_threads = 0
         self.granted = 0.0
@@ -102,6 +104,11 @@
         self.probed_at, self.probe = now, latency
         self.heard = max(self.heard, now if latency < quick else 0.0)
 
+    def hold(self, data_set: int, now: float, until: float) -> None:
+        """Take a data set for held here by a load. Guards the memory: ever new ones are named."""
+        self.held_until = {held: over for held, over in self.held_until.items() if over > now}
+        self.held_until[data_set] = until
+
     def loading(self, data_set: int) -> int:
         """Loads of ours that are out here and hold the data set, or wait for it."""
         return sum(o.query.data_set == data_set and o.cls.holds_data_set for o in self.out.values())
--- a/grebeproxy/policy/release.py
+++ b/grebeproxy/policy/release.py
@@ -46,7 +46,7 @@
         for job in self.held[rank][:SCAN] if roomy else ():
             # Departure: past our share of an engine's memory it waits here, not in its line and not paging.
             able = [e for e in roomy if self._may_send(job, e) and (
-                not (e.memory and e.out) or e.granted * self.sharing + job.memory <= e.memory)]
+                not (e.memory and e.out) or e.granted * e.sharers + job.memory <= e.memory)]
             if able and (e := self._pick(job, able)) is not None:
                 return job, e
         return None
--- a/grebeproxy/policy/rules.py
+++ b/grebeproxy/policy/rules.py
@@ -39,13 +39,13 @@
         """A cold engine's budget is dealt in slots from its start on, seen alike by all, restarted or not."""
         slot = int((self.now - (e.cold_since or 0.0)) / self.slot)
         start = (e.cold_since or 0.0) + slot * self.slot
-        if start <= self.began or (self.many and e.entry.id not in self.near):
-            return False  # a former self may have had this slot, or others have this engine
-        each = COLD_MARGIN * self.s.rules.overload_factor * self.slot / self.heavy / self.sharing
+        if start <= self.began or e.number < 0:
+            return False  # a former self may have had this slot, or others are dealt this engine
+        each = COLD_MARGIN * self.s.rules.overload_factor * self.slot / self.heavy
         if self.many and job.draw * (1.0 - exp(-PACKED * each * self.cold_able)) >= self.cold_part:
             return False
         turn = (zlib.crc32(e.entry.id.encode()) + slot) * TURN
-        parts = int(each * e.cores * self._warmth(e) + (turn + self.s.index / self.sharing) % 1.0)
+        parts = int(each * e.cores * self._warmth(e) / e.sharers + (turn + e.number / e.sharers) % 1.0)
         return e.cold_sent.since(start - 1e-6) + self.weights[job.rank] <= parts * self.heavy
 
     def _extra_left(self) -> bool:
@@ -63,8 +63,9 @@
 
     def _repeat_end(self, job: Job) -> float | None:
         """Clock time from which on another attempt may do harm, if there is one."""
-        window = job.cls.repeat_window if job.cls.effect is Effect.KEYED else 0.0
-        return None if job.ran_at is None or job.cls.effect is Effect.SAFE else job.ran_at + window
+        if job.ran_at is None or job.cls.effect is Effect.SAFE:
+            return None
+        return job.ran_at + (job.cls.repeat_window if job.cls.effect is Effect.KEYED else 0.0)
 
     def _cold(self, e: Node) -> bool:
         return e.cold_since is not None and self.now < e.cold_since + self.s.rules.ramp_time
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -29,7 +29,7 @@
 
 def test_the_module_is_short_enough_to_print() -> None:
     lines = [line for path in PARTS for line in path.read_text().splitlines()]
-    assert len(PARTS) == 6 and sum(bool(line.strip()) for line in lines) <= 560
+    assert len(PARTS) == 7 and sum(bool(line.strip()) for line in lines) <= 560
     assert max(map(len, lines)) <= 110
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -106,8 +106,8 @@
         cold = Engine("e0", "medium", started=99.0)
         gateway.tell(cold, *(Engine(f"e{i}", "medium") for i in range(1, engines)))
         gateway.choice.usual, gateway.choice.seen = [work] * 3, [50] * 3
-        for node in list(gateway.choice.nodes.values())[1:]:
-            node.shut_until = gateway.now + 100.0
+        for name, node in gateway.choice.nodes.items():
+            node.shut_until = gateway.now + 100.0 if name != "e0" else 0.0
         for number in range(max(1, round(asked / work / 200))):
             sent += work * len(sends(gateway.ask(cls, wait=20.0, work=work, id=f"{index}-{number}")))
         for _ in range(9):
--- /dev/null
+++ b/tests/test_subset.py
@@ -0,0 +1,271 @@
+"""The engines that one of many gateways works with: agreed, even, and wider while few are reliable."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import replace
+from typing import Any
+
+import pytest
+from conftest import LONG, SHORT, Gateway, finals, make_settings, sends
+from hypothesis import given
+from hypothesis import strategies as st
+
+from grebeproxy.policy.dealing import Ring, Seats
+from grebeproxy.policy.interface import (
+    ByHand,
+    Engine,
+    EngineState,
+    Kind,
+    ListKind,
+    Outcome,
+    Retuned,
+    Send,
+)
+from grebeproxy.policy.placement import Placement
+from grebeproxy.policy.subset import SIZE, WIDEST
+
+ROUTERS, ENGINES = 200, 400
+ZONES = tuple(f"zone-{n}" for n in range(6))
+
+
+def ring_of(engines: int) -> tuple[Ring, list[str]]:
+    ring, names = Ring(), [f"e{n}" for n in range(engines)]
+    ring.fill(Engine(name, "medium") for name in names)
+    return ring, names
+
+
+def gateway_of(
+    index: int = 0, *, engines: int = ENGINES, balancers: int = ROUTERS, **changes: Any
+) -> Gateway:
+    settings = make_settings(balancers=balancers, index=index, **changes)
+    gateway = Gateway(settings, engines=0)
+    gateway.tell(*(Engine(f"e{n}", "medium", ZONES[n % 6]) for n in range(engines)))
+    return gateway
+
+
+def subset(gateway: Gateway) -> set[str]:
+    """The engines that may be sent something."""
+    return {engine for engine, node in gateway.choice.nodes.items() if gateway.choice.usable(node)}
+
+
+@given(routers=st.integers(1, 60), engines=st.integers(1, 60), reach=st.integers(1, 70))
+def test_each_router_knows_who_shares_an_engine_and_its_own_number_there(
+    routers: int, engines: int, reach: int
+) -> None:
+    ring, names = ring_of(engines)
+    seats = [Seats(routers, index) for index in range(routers)]
+    windows = [ring.window(seat.place, 0, reach) for seat in seats]
+    assert all(len(set(window)) == min(reach, engines) for window in windows)
+    for name in names:
+        sharers = [seat for seat, window in zip(seats, windows, strict=True) if name in window]
+        found = [seat.sharers(ring.rank(name), reach, engines) for seat in sharers]
+        assert sorted(number for _, number in found) == list(range(len(sharers)))
+        assert {count for count, _ in found} <= {len(sharers)}
+
+
+def test_engines_are_shared_evenly_at_the_size_of_the_target() -> None:
+    ring, names = ring_of(3200)
+    met = Counter(name for index in range(2400) for name in ring.window(Seats(2400, index).place, 0, SIZE))
+    assert len(met) == 3200 and min(met.values()) >= 0.8 * 12 and max(met.values()) <= 1.1 * 12
+
+
+def test_gateways_keep_their_engines_while_the_count_of_gateways_differs() -> None:
+    before = [subset(gateway_of(index)) for index in range(20)]
+    assert [subset(gateway_of(index, balancers=220)) for index in range(20)] == before
+
+
+def test_a_change_of_the_list_moves_at_most_two_engines_of_each_gateway() -> None:
+    moved = []
+    for index in range(40):
+        gateway = gateway_of(index)
+        before = subset(gateway)
+        gateway.tell(Engine("e7", "medium", state=EngineState.GONE), how=ListKind.CHANGES)
+        moved.append(len(subset(gateway) - before))
+        gateway.tell(Engine("e7", "medium", ZONES[1]), how=ListKind.CHANGES)
+        assert subset(gateway) == before
+    assert sum(moved) > 0 and max(moved) <= 2
+
+
+def test_a_restarted_gateway_has_the_engines_that_it_had_before() -> None:
+    assert subset(gateway_of(7)) == subset(gateway_of(7))
+    assert subset(gateway_of(7)) != subset(gateway_of(8))
+
+
+@pytest.mark.parametrize("engines", [80, 3200])
+def test_what_is_done_for_a_query_and_kept_depends_on_the_subset_not_on_the_fleet(
+    engines: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    weighed = 0
+    cost = Placement._cost
+
+    def counted(self: Placement, *args: Any) -> tuple[float, float]:
+        nonlocal weighed
+        weighed += 1
+        return cost(self, *args)
+
+    monkeypatch.setattr(Placement, "_cost", counted)
+    gateway = gateway_of(engines=engines, balancers=2400)
+    for _ in range(10):
+        [send] = sends(gateway.ask(work=0.1))
+        gateway.end(send, Outcome.OK, 0.1)
+    assert weighed == 10 * SIZE and len(gateway.choice.nodes) == len(gateway.choice.up) == SIZE
+
+
+def test_a_change_of_the_list_costs_by_its_changes(monkeypatch: pytest.MonkeyPatch) -> None:
+    gateway = gateway_of(engines=3200, balancers=2400)
+    looked: list[str] = []
+    fits = Ring.fits
+
+    def counted(self: Ring, entry: Engine) -> bool:
+        looked.append(entry.id)
+        return fits(self, entry)
+
+    monkeypatch.setattr(Ring, "fits", counted)
+    gateway.tell(Engine("e5", "medium", state=EngineState.DRAINING), how=ListKind.CHANGES)
+    assert set(looked) == {"e5"}
+
+
+def test_a_zone_comes_first_and_others_follow_where_it_has_too_few() -> None:
+    gateway = gateway_of(zones=ZONES, zone=ZONES[2])
+    zones = Counter(node.entry.zone for node in gateway.choice.up)
+    assert zones[ZONES[2]] >= SIZE and SIZE < sum(zones.values()) <= 2 * SIZE
+    small = Gateway(make_settings(balancers=ROUTERS, zones=ZONES, zone=ZONES[2]), engines=0)
+    small.tell(*(Engine(f"e{n}", "medium", ZONES[2 if n < 3 else 4]) for n in range(ENGINES)))
+    assert {"e0", "e1", "e2"} <= subset(small) and len(subset(small)) >= SIZE
+
+
+def test_a_class_that_is_confined_to_a_rare_kind_finds_engines_of_it() -> None:
+    kinds = (Kind("medium", 8.0, 16000.0), Kind("rare", 8.0, 16000.0))
+    confined = replace(LONG, only_kinds=frozenset({"rare"}))
+    settings = make_settings(balancers=ROUTERS, index=3, kinds=kinds, classes=(SHORT, confined))
+    gateway = Gateway(settings, engines=0)
+    gateway.tell(*(Engine(f"e{n}", "rare" if n % 40 == 0 else "medium") for n in range(ENGINES)))
+    rare = {engine for engine in subset(gateway) if int(engine[1:]) % 40 == 0}
+    assert len(rare) == ENGINES / 40  # all ten of them
+    [send] = sends(gateway.ask("long", wait=20.0, work=0.5))
+    assert send.engine in rare
+
+
+def break_down(gateway: Gateway, engines: set[str], way: str) -> None:
+    """Makes engines of no use, as the list, operators, a restart or failing connections do."""
+    if way == "by hand":
+        gateway.do(ByHand(frozenset(engines)))
+    elif way == "cold":
+        fresh = [Engine(name, "medium", started=gateway.now) for name in sorted(engines)]
+        gateway.tell(*fresh, how=ListKind.CHANGES)
+    else:
+        for name in engines:
+            gateway.choice.nodes[name].ejected_at = gateway.now
+            gateway.choice.nodes[name].trial_at = gateway.now + 1e6
+
+
+@pytest.mark.parametrize("way", ["by hand", "cold", "ejected"])
+def test_while_few_are_reliable_the_subset_is_wider_in_the_agreed_order(way: str) -> None:
+    gateway = gateway_of(5)
+    choice, before = gateway.choice, subset(gateway)
+    order = choice.rings[0].window(choice.seats.place, 0, ENGINES)
+    bad = set(order[: SIZE * 3 // 4])
+    break_down(gateway, bad, way)
+    for _ in range(4):
+        [send] = sends(gateway.ask(work=0.1))
+        assert send.engine not in bad or way == "cold"
+        gateway.end(send, Outcome.OK, 0.1)
+    wider = {engine for engine, node in choice.nodes.items() if node.member}
+    assert wider == set(order[: len(wider)]) and SIZE < len(wider) <= (1 + WIDEST) * SIZE
+    assert len(wider - bad) >= SIZE / 2
+    if way == "by hand":
+        gateway.do(ByHand(frozenset()))
+        gateway.now += 60.0  # what operators give back is cold for a while
+    elif way == "cold":
+        gateway.now += 60.0
+    else:
+        for name in bad:
+            choice.nodes[name].ejected_at = None
+    for _ in range(8):
+        [send] = sends(gateway.ask(work=0.1))
+        gateway.end(send, Outcome.OK, 0.1)
+    assert subset(gateway) == before
+
+
+def test_a_subset_at_the_edge_of_too_few_does_not_go_to_and_fro() -> None:
+    gateway = gateway_of(5)
+    order = gateway.choice.rings[0].window(gateway.choice.seats.place, 0, ENGINES)
+    break_down(gateway, set(order[: SIZE // 2 + 1]), "ejected")
+    gateway.ask(work=0.1)
+    gateway.ask(work=0.1)
+    wide = set(gateway.choice.nodes)
+    assert len(wide) > SIZE
+    gateway.choice.nodes[order[0]].ejected_at = None  # one more than too few
+    for _ in range(5):
+        gateway.ask(work=0.1)
+    assert set(gateway.choice.nodes) >= wide
+
+
+def test_a_subset_has_a_bound_where_nothing_is_reliable() -> None:
+    gateway = gateway_of(5)
+    for _ in range(40):
+        break_down(gateway, set(gateway.choice.nodes), "ejected")
+        gateway.ask(work=0.1)
+    assert len(gateway.choice.nodes) <= (1 + WIDEST) * SIZE + SIZE
+
+
+@pytest.mark.parametrize("routers", [50, 200, 2400])
+def test_the_parts_of_a_cold_engine_are_dealt_once_whatever_gateways_take_for_their_traffic(
+    routers: int,
+) -> None:
+    gateways = [gateway_of(index, engines=64, balancers=routers) for index in range(0, routers, 1)][:200]
+    for number, gateway in enumerate(gateways):  # some are busy, and work with more engines for it
+        gateway.choice.size = SIZE * (1 + number % 4)
+        gateway.choice.refit = True
+        gateway.choice.take_window(SIZE)
+    numbers: dict[str, list[int]] = {}
+    for gateway in gateways:
+        for engine, node in gateway.choice.nodes.items():
+            if node.number >= 0:
+                numbers.setdefault(engine, []).append(node.number)
+    assert len(numbers) == 64
+    assert all(len(set(got)) == len(got) for got in numbers.values())  # nobody has another one's number
+
+
+def test_an_engine_that_left_the_subset_is_followed_until_what_is_out_there_has_ended() -> None:
+    gateway = gateway_of(5)
+    [send] = sends(gateway.ask(work=0.1))
+    gateway.do(Retuned(make_settings(balancers=ROUTERS, index=105)))
+    assert send.engine in gateway.choice.nodes and send.engine not in subset(gateway)
+    assert not finals(gateway.end(send, Outcome.OK, 0.1)) and not gateway.choice.jobs
+    gateway.sweep(gateway.now + 0.3)
+    assert send.engine not in gateway.choice.nodes
+
+
+def test_an_engine_that_started_unseen_is_cold_when_the_subset_takes_it_in() -> None:
+    gateway = gateway_of(5)
+    outside = sorted(set(gateway.choice.listing) - subset(gateway))
+    fresh = [Engine(name, "medium", started=gateway.now) for name in outside]
+    gateway.tell(*fresh, how=ListKind.CHANGES)
+    break_down(gateway, subset(gateway), "ejected")
+    gateway.ask(work=0.1)
+    gateway.ask(work=0.1)
+    taken_in = [gateway.choice.nodes[name] for name in outside if name in gateway.choice.nodes]
+    assert taken_in and all(gateway.choice._cold(node) for node in taken_in)
+
+
+def test_few_gateways_work_with_all_engines() -> None:
+    gateway = gateway_of(1, engines=60, balancers=3)
+    assert len(subset(gateway)) == 60
+    gateway.do(Retuned(make_settings(balancers=ROUTERS, index=1)))
+    assert len(subset(gateway)) == SIZE
+    gateway.do(Retuned(make_settings(balancers=3, index=1)))
+    assert len(subset(gateway)) == 60
+
+
+def test_nothing_is_sent_to_an_engine_that_left_the_list_or_drains() -> None:
+    gateway = gateway_of(5)
+    for name in sorted(subset(gateway))[:6]:
+        state = EngineState.GONE if len(name) % 2 else EngineState.DRAINING
+        gateway.tell(Engine(name, "medium", state=state), how=ListKind.CHANGES)
+        assert name not in subset(gateway) and len(subset(gateway)) == SIZE
+        for _ in range(20):
+            out: list[Send] = sends(gateway.ask(work=0.1))
+            assert out and name not in {send.engine for send in out}
+            gateway.end(out[0], Outcome.OK, 0.1)
