--- a/grebeproxy/__main__.py
+++ b/grebeproxy/__main__.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 
 from grebeproxy.config import ConfigError, load
-from grebeproxy.net.runtime import Beside, run
+from grebeproxy.net.process import BackgroundService, run
 
 
-def peers(name: str, path: str | None) -> Callable[[], Beside] | None:
+def peers(name: str, path: str | None) -> Callable[[], BackgroundService] | None:
     """What this router shares with others, where an operator file says so; nothing of it is imported else."""
     if not path:
         return None
--- a/grebeproxy/config.py
+++ b/grebeproxy/config.py
@@ -45,6 +45,17 @@
         for key in sorted(earlier.keys - self.keys):
             raise ConfigError(f"{key}: missing")
 
+    def updated_while_serving(self, fresh: Config) -> Config:
+        """This configuration with what may change while serving taken from another one."""
+        return replace(
+            self,
+            changelog=fresh.changelog,
+            settings=fresh.settings,
+            limits=fresh.limits,
+            known=fresh.known,
+            keys=fresh.keys,
+        )
+
 
 def load(environ: Mapping[str, str]) -> Config:
     """The configuration that the ``BALANCER_*`` variables name; they go before the file."""
--- /dev/null
+++ b/grebeproxy/net/connections/change_log.py
@@ -0,0 +1,31 @@
+"""The connection to the change log."""
+
+from __future__ import annotations
+
+from typing import cast
+
+from grebeproxy.net import changelog, events
+from grebeproxy.net.connections.base import Connection, Host
+from grebeproxy.net.messages import News
+
+
+class ChangeLogConnection(Connection):
+    """The connection to the change log; asks for what came after the event ``seq``."""
+
+    def __init__(self, host: Host, decoder: changelog.Decoder, seq: int, dial: int) -> None:
+        super().__init__(host, decoder)
+        self._seq, self._dial = seq, dial
+
+    def opened(self) -> None:
+        """Ask for what came after the last event."""
+        assert self.transport is not None
+        self.transport.write(changelog.hello(self._seq))
+        self.host.feed(events.LogOpened(self._dial))
+
+    def received(self, message: object) -> events.Event:
+        """An event of the log."""
+        return events.LogSaid(cast(News, message))
+
+    def closed(self, reason: str) -> events.Event:
+        """The connection is gone."""
+        return events.LogClosed(reason, self._dial)
--- /dev/null
+++ b/grebeproxy/net/effects.py
@@ -0,0 +1,105 @@
+"""Carries out the effects that the reducer asks for."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import Protocol
+
+from grebeproxy.net import events, hands, msgpack_rpc, resp
+from grebeproxy.net.connections import AdminConnection, ClientConnections, EngineConnection
+
+
+class EffectTarget(Protocol):
+    """What effects act on: connections, timers, and the program's life."""
+
+    clients: ClientConnections
+    links: dict[int, EngineConnection]
+    admins: dict[int, AdminConnection]
+
+    def open_link(self, number: int, address: events.Address) -> None:
+        """Connect to an engine."""
+
+    def open_change_log(self, effect: events.OpenLog) -> None:
+        """Connect to the change log, ending an earlier connection."""
+
+    def save_overrides(self, calls: hands.Calls) -> None:
+        """Write the manual overrides for this router's other processes."""
+
+    def wake_at(self, at: float) -> None:
+        """Feed ``Woken`` at that time."""
+
+    def log(self, text: str) -> None:
+        """Write a line to the log."""
+
+    def start_listening(self) -> None:
+        """Take connections from now on."""
+
+    def stop_listening(self) -> None:
+        """Take no more connections."""
+
+    def exit(self) -> None:
+        """End the program."""
+
+
+def carry_out(target: EffectTarget, effects: Iterable[events.Effect]) -> None:
+    """Carry the effects out, in order."""
+    for effect in effects:
+        match effect:
+            case events.Answer() | events.CloseClient() | events.PartClient():
+                _on_client(target, effect)
+            case events.OpenLink() | events.Write() | events.CloseLink():
+                _on_engine(target, effect)
+            case events.AnswerDoor() | events.CloseDoor():
+                _on_admin(target, effect)
+            case events.OpenLog():
+                target.open_change_log(effect)
+            case events.SaveHands(calls):
+                target.save_overrides(calls)
+            case events.Wake(at):
+                target.wake_at(at)
+            case events.Note(text):
+                target.log(text)
+            case events.StartListening():
+                target.start_listening()
+            case events.StopListening():
+                target.stop_listening()
+            case events.Exit():
+                target.exit()
+
+
+def _on_client(target: EffectTarget, effect: events.Answer | events.CloseClient | events.PartClient) -> None:
+    client = target.clients.get(effect.conn)
+    if client is None:
+        return
+    match effect:
+        case events.Answer(_, message):
+            client.write(msgpack_rpc.encode(message))
+        case events.PartClient():
+            client.half_close()
+        case events.CloseClient(number):
+            del target.clients[number]
+            client.hang_up()
+
+
+def _on_engine(target: EffectTarget, effect: events.OpenLink | events.Write | events.CloseLink) -> None:
+    match effect:
+        case events.OpenLink(number, address):
+            target.open_link(number, address)
+        case events.Write(number, commands):
+            link = target.links.get(number)
+            if link is not None and link.transport is not None:
+                link.transport.write(b"".join(map(resp.encode, commands)))
+        case events.CloseLink(number):
+            if (closed := target.links.pop(number, None)) is not None:
+                closed.close()
+
+
+def _on_admin(target: EffectTarget, effect: events.AnswerDoor | events.CloseDoor) -> None:
+    connection = target.admins.pop(effect.conn, None)
+    if connection is None:
+        return
+    match effect:
+        case events.AnswerDoor(_, done, text):
+            connection.answer(done, text)
+        case events.CloseDoor():
+            connection.close()
--- /dev/null
+++ b/grebeproxy/net/process.py
@@ -0,0 +1,64 @@
+"""The life of the program: signals, the garbage collector, and the event loop."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import signal
+from collections.abc import Callable
+from typing import Protocol
+
+import uvloop
+
+from grebeproxy.config import Config
+from grebeproxy.net.runtime import Runtime
+
+GC_THRESHOLDS = (20_000, 20, 50)  # few collections, each of them short: what start-up made is left out
+
+
+class BackgroundService(Protocol):
+    """What a program runs beside its router, on the same loop."""
+
+    async def start(self) -> None:
+        """Begin. Raises ``OSError`` where an address cannot be had."""
+
+    async def stop(self) -> None:
+        """End, once the router has."""
+
+
+def run(
+    config: Config, read: Callable[[], Config], make_service: Callable[[], BackgroundService] | None = None
+) -> None:
+    """Serve as a program of its own: on uvloop, until SIGTERM or SIGINT; SIGHUP reads the configuration.
+
+    Raises ``OSError`` where an address cannot be had.
+    """
+    uvloop.run(_serve(config, read, make_service))
+
+
+async def _serve(
+    config: Config, read: Callable[[], Config], make_service: Callable[[], BackgroundService] | None
+) -> None:
+    service = make_service() if make_service is not None else None
+    if service is not None:
+        await service.start()
+    runtime = Runtime(config)
+    _handle_signals(runtime, read)
+    _tune_garbage_collector()
+    await runtime.serve()
+    if service is not None:
+        await service.stop()
+
+
+def _handle_signals(runtime: Runtime, read: Callable[[], Config]) -> None:
+    loop = asyncio.get_running_loop()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, runtime.terminate)
+    loop.add_signal_handler(signal.SIGHUP, runtime.reload, read)
+
+
+def _tune_garbage_collector() -> None:
+    """Guards against collections that stall the loop: keys are ordered by when requests are read."""
+    gc.collect()
+    gc.freeze()
+    gc.set_threshold(*GC_THRESHOLDS)
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -21,8 +21,12 @@
 from grebeproxy import Choice
 from grebeproxy.config import parse
 from grebeproxy.net import events, hands
+from grebeproxy.net.connections import ChangeLogConnection, Connection
+from grebeproxy.net.dialer import Dialer
+from grebeproxy.net.effects import carry_out
 from grebeproxy.net.router import Decide
-from grebeproxy.net.runtime import Client, Connection, Door, Log, Runtime
+from grebeproxy.net.runtime import Runtime
+from grebeproxy.net.timers import LoopTimers
 from grebeproxy.policy import interface as api
 
 FOLDER = Path(__file__).parent / "exchanges"
@@ -129,59 +133,32 @@
             self.call()
 
 
-class Player(Runtime):
-    """The runtime with its sockets, its clock and its log replaced."""
+class PlayedTimers(LoopTimers):
+    """A clock that moves only when the player lets it, and the calls that are due on it."""
 
-    def __init__(self, decide: Decide, changes: dict[str, Any]) -> None:
+    def __init__(self) -> None:
+        super().__init__()
         self.at, self.woken_at = START, float("inf")
+        self.woken: Callable[[], None] = lambda: None
         self.calls: list[tuple[float, int, Timer]] = []
         self.numbers = count()
-        self.transcript: list[str] = []
-        self.peers: dict[str, FakeTransport] = {}
-        self.dialled = 0
-        super().__init__(parse(with_changes(changes)), decide)
-        self._carry_out(self._router.start(self.at))
 
     def now(self) -> float:
         return self.at
 
-    def clock(self, unix_ms: int) -> float:
+    def from_unix_ms(self, unix_ms: int) -> float:
         return unix_ms / 1000
 
-    def log(self, text: str) -> None:
-        self.out("note", text.strip().splitlines()[-1])
-
-    def start_listening(self) -> None:
-        pass  # recordings begin when clients may come; tests/test_start.py tells when that is
-
-    def stop_listening(self) -> None:
-        self.out("listener", "closed")
-
-    def exit(self) -> None:
-        self.out("program", "exits")
-
-    def _save_hands(self, calls: hands.Calls) -> None:
-        self.out("file", f"written {orjson.dumps(calls, option=orjson.OPT_SORT_KEYS).decode()}")
-
-    def _soon(self, call: Callable[[], None]) -> None:
+    def call_soon(self, call: Callable[[], None]) -> None:
         call()
 
-    def _later(self, delay: float, call: Callable[[], None]) -> Any:
+    def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
         timer = Timer(call)
         heappush(self.calls, (self.at + delay, next(self.numbers), timer))
         return timer
 
-    def _wake_at(self, at: float) -> None:
-        self.woken_at = at
-
-    def _connect(self, connection: Connection, address: tuple[str, int]) -> None:
-        name = "log" if isinstance(connection, Log) else f"L{self.dialled + 1}"
-        self.dialled += name != "log"
-        self.peers[name] = FakeTransport(self, name, connection)
-        self.out(name, f"dial {address[0]}:{address[1]}")
-
-    def out(self, who: str, what: str) -> None:
-        self.transcript.append(f"{(self.at - START) * 1000:.0f} {who} {what}")
+    def wake_at(self, at: float, call: Callable[[], None]) -> None:
+        self.woken_at, self.woken = at, call
 
     def run_until(self, at: float) -> None:
         """Let the time pass, and all that was to happen meanwhile."""
@@ -192,9 +169,62 @@
                 timer.run()
             else:
                 self.at, self.woken_at = max(self.at, self.woken_at), float("inf")
-                self._due()
+                self.woken()
         self.at = at
 
+
+class PlayedDialer(Dialer):
+    """Writes down what is dialled; the recording tells what comes of it."""
+
+    def __init__(self, player: Player) -> None:
+        super().__init__(player.report_shortage)
+        self.player, self.dialled = player, 0
+
+    def dial(self, connection: Connection, address: tuple[str, int]) -> None:
+        name = "log" if isinstance(connection, ChangeLogConnection) else f"L{self.dialled + 1}"
+        self.dialled += name != "log"
+        self.player.peers[name] = FakeTransport(self.player, name, connection)
+        self.player.out(name, f"dial {address[0]}:{address[1]}")
+
+
+class Player(Runtime):
+    """The runtime with its sockets, its clock and its log replaced."""
+
+    def __init__(self, decide: Decide, changes: dict[str, Any]) -> None:
+        self.played = PlayedTimers()
+        self.transcript: list[str] = []
+        self.peers: dict[str, FakeTransport] = {}
+        super().__init__(parse(with_changes(changes)), decide, self.played)
+        self.dialer = self.played_dialer = PlayedDialer(self)
+        carry_out(self, self._router.start(self.played.at))
+
+    @property
+    def dialled(self) -> int:
+        """How many connections to engines were dialled."""
+        return self.played_dialer.dialled
+
+    def run_until(self, at: float) -> None:
+        """Let the time pass, and all that was to happen meanwhile."""
+        self.played.run_until(at)
+
+    def log(self, text: str) -> None:
+        self.out("note", text.strip().splitlines()[-1])
+
+    def start_listening(self) -> None:
+        pass  # recordings begin when clients may come; tests/test_start.py tells when that is
+
+    def stop_listening(self) -> None:
+        self.out("listener", "closed")
+
+    def exit(self) -> None:
+        self.out("program", "exits")
+
+    def save_overrides(self, calls: hands.Calls) -> None:
+        self.out("file", f"written {orjson.dumps(calls, option=orjson.OPT_SORT_KEYS).decode()}")
+
+    def out(self, who: str, what: str) -> None:
+        self.transcript.append(f"{(self.played.at - START) * 1000:.0f} {who} {what}")
+
     def happen(self, who: str, what: str, data: str, cut: int) -> None:
         """One input line."""
         if who == "file":  # another process has written it
@@ -202,7 +232,9 @@
             self.feed(events.HandsRead(calls))
             return
         if who not in self.peers and who[0] in "cd":
-            self.peers[who] = FakeTransport(self, who, Client(self) if who[0] == "c" else Door(self))
+            self.peers[who] = FakeTransport(
+                self, who, self.new_client_connection() if who[0] == "c" else self.new_admin_connection()
+            )
             self.connect(who)
         elif what == "up":
             self.connect(who)
@@ -215,7 +247,7 @@
             case "fin":  # it sends no more
                 peer.protocol.eof_received()
             case "lost" | "short":  # short: no descriptor was left for it
-                peer.closed, peer.protocol.ours = True, what == "short"
+                peer.closed, peer.protocol.local_shortage = True, what == "short"
                 peer.protocol.connection_lost(None)
             case "full":
                 peer.full = True
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -81,11 +81,11 @@
     def dialling(self) -> Callable[[], None]:
         """Let it run until it dials an engine; the dial goes out when what this gives is called."""
         held: list[tuple[Any, Any]] = []
-        connect = self.runtime._connect
-        self.runtime._connect = lambda *dial: held.append(dial)  # type: ignore[method-assign]
+        connect = self.runtime.dialer.dial
+        self.runtime.dialer.dial = lambda *dial: held.append(dial)  # type: ignore[method-assign]
 
         def go() -> None:
-            self.runtime._connect = connect  # type: ignore[method-assign]
+            self.runtime.dialer.dial = connect  # type: ignore[method-assign]
             for dial in held:
                 self.loop.call_soon(connect, *dial)
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -22,7 +22,7 @@
 
 def test_a_start_told_again_is_the_same_moment() -> None:
     runtime = Runtime(parse(with_changes({})))
-    assert len({runtime.clock(1_790_000_000_000) for _ in range(1000)}) == 1
+    assert len({runtime.timers.from_unix_ms(1_790_000_000_000) for _ in range(1000)}) == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -82,7 +82,7 @@
     for number in range(1, 10):
         engine.sendall(long_answer(number))
         stage.run(0.01)
-    assert stage.runtime.unsent() > 64 * 1024
+    assert stage.runtime.clients.unsent_bytes() > 64 * 1024
     return client, engine
 
 
@@ -132,21 +132,21 @@
     for client in (sends, stays):
         client.sendall(b"\xc1")
     stage.run(0.02)
-    assert stage.runtime._lingering and not stage.runtime.clients
+    assert stage.runtime.lingering and not stage.runtime.clients
     with pytest.raises(ConnectionError):
         for _ in range(200):
             sends.sendall(b"x" * 65536)
             stage.run(0.005)
-    assert len(stage.runtime._lingering) == 1
+    assert len(stage.runtime.lingering) == 1
     stage.run(0.6)
-    assert not stage.runtime._lingering
+    assert not stage.runtime.lingering
 
 
 def test_those_closed_on_and_not_ended_are_few(stage: Stage) -> None:
     for _ in range(60):
         stage.client().sendall(b"\xc1")
     stage.run(0.1)
-    assert len(stage.runtime._lingering) == 16 and not stage.runtime.clients
+    assert len(stage.runtime.lingering) == 16 and not stage.runtime.clients
 
 
 def test_a_caller_that_says_more_than_a_call_reads_its_answer() -> None:
@@ -168,7 +168,7 @@
 def test_small_writes_are_held_back_on_no_connection(stage: Stage) -> None:
     client = stage.client()
     served(stage, client)
-    log = stage.runtime._log_link
+    log = stage.runtime._change_log
     assert log is not None
     for connection in (*stage.runtime.clients.values(), *stage.runtime.links.values(), log):
         assert connection.transport is not None
