--- a/grebeproxy/net/connections/base.py
+++ b/grebeproxy/net/connections/base.py
@@ -83,7 +83,7 @@
     def _discard(self, data: bytes) -> None:
         self._discarded += len(data)
         if self._discarded > MAX_DISCARDED:
-            self.cut()
+            self.host.lingering.cut(self)
 
     def eof_received(self) -> bool:
         """Report the end at once: the transport would first send what is written, and none may read it."""
@@ -107,11 +107,10 @@
         if self.connecting is not None:
             # Guards the descriptors: a connection to a silent machine would be tried for minutes.
             self.connecting.cancel()
-        self.cut()
+        self.abort()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End at once, also what is written and not sent."""
-        self.host.lingering.discard(self)
         if self.transport is not None:
             self.transport.abort()
 
--- a/grebeproxy/net/connections/client.py
+++ b/grebeproxy/net/connections/client.py
@@ -82,7 +82,7 @@
         transport.write(data)
         if self._holds_too_much(transport.get_write_buffer_size()):
             self.end("the client does not read its answers")
-            self.cut()
+            self.host.lingering.cut(self)
 
     def _holds_too_much(self, unsent: int) -> bool:
         allowed = self._bounds.unsent
@@ -96,7 +96,8 @@
 
     def hang_up(self) -> None:
         """Close without a report; one that knew of the end before has had its time."""
-        late = self.half_closed
-        self.finish()
-        if late:
-            self.cut()
+        if self.half_closed:
+            self.ended = True
+            self.host.lingering.cut(self)
+        else:
+            self.finish()
--- a/grebeproxy/net/lingering.py
+++ b/grebeproxy/net/lingering.py
@@ -13,9 +13,9 @@
 
 
 class Lingering(Protocol):
-    """A connection that can be cut."""
+    """A connection that can be aborted."""
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End at once, also what is written and not sent."""
 
 
@@ -34,9 +34,14 @@
     def add(self, connection: Lingering) -> None:
         """It was closed on: it is cut where its peer does not end it soon, or where too many are."""
         if self._bounded and len(self._connections) >= MAX_LINGERING:
-            next(iter(self._connections)).cut()
+            self.cut(next(iter(self._connections)))
         if connection not in self._connections:
-            self._connections[connection] = self._timers.call_later(LINGER, connection.cut)
+            self._connections[connection] = self._timers.call_later(LINGER, lambda: self.cut(connection))
+
+    def cut(self, connection: Lingering) -> None:
+        """It may linger no more."""
+        self.discard(connection)
+        connection.abort()
 
     def discard(self, connection: Lingering) -> None:
         """It has ended."""
@@ -46,7 +51,7 @@
     def cut_all(self) -> None:
         """End all at once, for the descriptors that they hold."""
         for connection in list(self._connections):
-            connection.cut()
+            self.cut(connection)
 
     def stop_bounding(self) -> None:
         """The program ends: from now on any number may linger."""
