--- a/grebeproxy/net/connections/base.py
+++ b/grebeproxy/net/connections/base.py
@@ -114,6 +114,10 @@
         if self.transport is not None:
             self.transport.abort()
 
+    def unsent_bytes(self) -> int:
+        """Bytes that were written and are not sent yet."""
+        return self.transport.get_write_buffer_size() if self.transport is not None else 0
+
     def finish(self) -> None:
         """Send what is written and the end of the stream; what still comes is read and dropped for a moment.
 
--- a/grebeproxy/net/connections/client.py
+++ b/grebeproxy/net/connections/client.py
@@ -30,7 +30,7 @@
 
     def unsent_bytes(self) -> int:
         """Bytes of answers that clients have not read yet."""
-        return sum(client.transport.get_write_buffer_size() for client in self.values() if client.transport)
+        return sum(client.unsent_bytes() for client in self.values())
 
 
 class ClientConnection(Connection):
@@ -80,12 +80,12 @@
         if transport is None or self.ended or self.half_closed:
             return
         transport.write(data)
-        if self._holds_too_much(transport.get_write_buffer_size()):
+        if self._holds_too_much():
             self.end("the client does not read its answers")
             self.host.lingering.cut(self)
 
-    def _holds_too_much(self, unsent: int) -> bool:
-        allowed = self._bounds.unsent
+    def _holds_too_much(self) -> bool:
+        unsent, allowed = self.unsent_bytes(), self._bounds.unsent
         if unsent > min(MAX_UNSENT, allowed):
             return True
         return unsent > 0 and self._clients.unsent_bytes() > allowed
--- a/grebeproxy/net/lingering.py
+++ b/grebeproxy/net/lingering.py
@@ -9,11 +9,15 @@
 
 LINGER = 0.5  # seconds in which a peer that is closed on may read what it was sent, and end its side
 MAX_LINGERING = 16  # connections that are closed on and not ended yet, beyond which the oldest is cut
-POLL_INTERVAL = 0.005  # seconds between looks at whether all have ended
+EXIT_GRACE = 2.0  # seconds from the program's end in which what is unsent may still be read
+POLL_INTERVAL = 0.005  # seconds between looks at whether all have ended, or have sent all
 
 
 class Lingering(Protocol):
-    """A connection that can be aborted."""
+    """A connection that may take some time to end."""
+
+    def unsent_bytes(self) -> int:
+        """Bytes that were written and are not sent yet."""
 
     def abort(self) -> None:
         """End at once, also what is written and not sent."""
@@ -24,7 +28,7 @@
 
     def __init__(self, timers: LoopTimers) -> None:
         self._timers = timers
-        self._bounded = True
+        self._exit_deadline: float | None = None  # the program ends, and no connection outlasts this
         self._connections: dict[Lingering, Cancellable] = {}  # the oldest first
 
     def __len__(self) -> int:
@@ -33,10 +37,21 @@
 
     def add(self, connection: Lingering) -> None:
         """It was closed on: it is cut where its peer does not end it soon, or where too many are."""
-        if self._bounded and len(self._connections) >= MAX_LINGERING:
+        if self._exit_deadline is None and len(self._connections) >= MAX_LINGERING:
             self.cut(next(iter(self._connections)))
         if connection not in self._connections:
-            self._connections[connection] = self._timers.call_later(LINGER, lambda: self.cut(connection))
+            self._cut_later(connection, LINGER)
+
+    def _cut_later(self, connection: Lingering, delay: float) -> None:
+        self._connections[connection] = self._timers.call_later(delay, lambda: self._time_out(connection))
+
+    def _time_out(self, connection: Lingering) -> None:
+        """Its time is over; while the program ends, what is unsent gets some more."""
+        deadline = self._exit_deadline
+        if deadline is not None and self._timers.now() < deadline and connection.unsent_bytes():
+            self._cut_later(connection, POLL_INTERVAL)
+        else:
+            self.cut(connection)
 
     def cut(self, connection: Lingering) -> None:
         """It may linger no more."""
@@ -53,9 +68,9 @@
         for connection in list(self._connections):
             self.cut(connection)
 
-    def stop_bounding(self) -> None:
-        """The program ends: from now on any number may linger."""
-        self._bounded = False
+    def begin_exit(self) -> None:
+        """The program ends: any number may linger, and those with unsent bytes for longer."""
+        self._exit_deadline = self._timers.now() + EXIT_GRACE
 
     async def wait_until_ended(self) -> None:
         """Wait until none is left; each is cut when its time is over."""
--- a/grebeproxy/net/runtime.py
+++ b/grebeproxy/net/runtime.py
@@ -120,9 +120,15 @@
             self._admin_listener.close()
         if self._listen_error is not None:
             raise self._listen_error
+        self._finish_connections()
+        await self.lingering.wait_until_ended()
+
+    def _finish_connections(self) -> None:
+        """Close all behind what is written; from now on the router's own time-outs end none of them."""
         for connection in (*self.clients.values(), *self.admins.values()):
             connection.finish()
-        await self.lingering.wait_until_ended()
+        self.clients.clear()
+        self.admins.clear()
 
     def _bind(self) -> Listener:
         descriptor = self.config.listen_fd
@@ -158,7 +164,7 @@
     def exit(self) -> None:
         """End the program."""
         self._done.set()
-        self.lingering.stop_bounding()
+        self.lingering.begin_exit()
 
     # --- events
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -236,6 +236,49 @@
     assert told(data)[0][1:3] == [1, None] and len(data) > 48_000
 
 
+def unread_at_the_end(stage: Stage) -> socket.socket:
+    """The program ends with an answer of 48 KB of which its client has read nothing yet."""
+    client = stage.client(unread=2048)
+    client.sendall(ask(1, "report", limit="9000"))
+    engine = stage.engine()
+    stage.run()
+    stage.terminate()
+    stage.run(0.8)  # it ends with this answer
+    stage.narrow()
+    engine.sendall(long_answer(1))
+    stage.run(0.05)
+    assert stage.runtime._done.is_set() and not stage.serving.done()
+    return client
+
+
+def test_a_client_that_reads_late_gets_the_last_answer_whole_before_the_program_ends(stage: Stage) -> None:
+    client = unread_at_the_end(stage)
+    stage.run(1.2)  # longer than any other connection may linger
+    data = b""
+    while not stage.serving.done():
+        data += waiting(client)
+        stage.run(0.01)
+    data += waiting(client)
+    assert told(data)[0][1:3] == [1, None] and len(data) > 48_000
+
+
+def test_a_client_that_never_reads_holds_the_end_of_the_program_for_two_seconds_at_most(stage: Stage) -> None:
+    unread_at_the_end(stage)
+    began = time.monotonic()
+    while not stage.serving.done():
+        stage.run(0.01)
+    assert 1.5 < time.monotonic() - began < 2.5
+
+
+def test_a_client_that_has_read_all_and_stays_holds_the_end_of_the_program_no_longer(stage: Stage) -> None:
+    client = unread_at_the_end(stage)
+    began = time.monotonic()
+    while not stage.serving.done():
+        waiting(client)
+        stage.run(0.01)
+    assert time.monotonic() - began < 1.0
+
+
 # --- a process that stood still
 
 
