--- a/grebeproxy/benchlink.py
+++ b/grebeproxy/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Adapter: translates the bench's wire to the module's events and its actions back.
+"""Adapter for the simulator: translates its messages to the module's events, and actions back.
 
 Pure translation, one ``Choice`` per dispatcher; nothing here decides or holds a figure that steers one.
 """
@@ -141,7 +141,7 @@
 }
 
 
-class Link:
+class SimulatorAdapter:
     """Reads batches, keeps the instances apart and writes one reply a batch."""
 
     def __init__(self, factory: Callable[[api.Settings, float, int], Choice] = Choice) -> None:
@@ -176,50 +176,60 @@
                 lines.append(line)
 
     def batch(self, now: float, lines: list[Fields]) -> list[Fields]:
-        """The actions that answer one batch."""
-        reply: list[Fields] = []
+        """The actions that answer one batch. Raises ``WireError`` naming the message and the field."""
         pending: dict[str, list[api.Event]] = {}
         for line in lines:
             message = line["msg"]
             try:
-                if message == "Ledger":
-                    self._ledgers[line["setId"]] = tuple(map(_engine, line["items"]))
-                    continue
-                who = line["who"]
-                if message == "Stop":
-                    self._instances.pop(who, None)
-                    pending.pop(who, None)
-                elif message == "Hello":
-                    settings = settings_from(line["profileData"])
-                    self._instances[who] = self._factory(settings, now, line["salt"])
-                    pending[who] = []
-                elif who not in self._instances:
-                    raise WireError(f"{message}: who: {who} was never started")
-                elif message == "Fleet":
-                    how = LIST_KINDS[line["mode"]]
-                    engines = () if how is api.ListKind.FAILED else self._ledgers[line["setId"]]
-                    news = api.EngineList(how, engines, line.get("generation", 0))
-                    pending.setdefault(who, []).append(news)
-                elif message in EVENTS:
-                    event = EVENTS[message](line)
-                    if event is not None:
-                        pending.setdefault(who, []).append(event)
-                else:
-                    raise WireError(f"{message}: unknown message")
+                self._read(now, line, pending)
             except KeyError as error:
                 raise WireError(f"{message}: field missing or not known: {error.args[0]}") from None
             except (TypeError, ValueError, AttributeError) as error:
                 raise WireError(f"{message}: {error}") from None
-        for who, events in pending.items():
-            try:
-                actions = [ACTIONS[type(a)](a) for a in self._instances[who].handle(now, events)]
-            except Exception as error:  # the wire wants the module's failure told, whatever it is
-                actions = [{"msg": "Die", "bodyText": f"{type(error).__name__}: {error}"}]
-            for action in actions:
-                action["who"] = who
-            reply.extend(actions)
+        reply: list[Fields] = []
+        for instance, events in pending.items():
+            reply += self._decide(now, instance, events)
         return reply
 
+    def _read(self, now: float, line: Fields, pending: dict[str, list[api.Event]]) -> None:
+        """Take one line: state of this adapter, or an event of an instance that is added to ``pending``."""
+        message = line["msg"]
+        if message == "Ledger":
+            self._ledgers[line["setId"]] = tuple(map(_engine, line["items"]))
+            return
+        instance = line["who"]
+        if message == "Stop":
+            self._instances.pop(instance, None)
+            pending.pop(instance, None)
+        elif message == "Hello":
+            settings = settings_from(line["profileData"])
+            self._instances[instance] = self._factory(settings, now, line["salt"])
+            pending[instance] = []
+        elif instance not in self._instances:
+            raise WireError(f"{message}: who: {instance} was never started")
+        elif message == "Fleet":
+            pending.setdefault(instance, []).append(self._engine_list(line))
+        elif message in EVENTS:
+            event = EVENTS[message](line)
+            if event is not None:
+                pending.setdefault(instance, []).append(event)
+        else:
+            raise WireError(f"{message}: unknown message")
+
+    def _engine_list(self, line: Fields) -> api.EngineList:
+        how = LIST_KINDS[line["mode"]]
+        engines = () if how is api.ListKind.FAILED else self._ledgers[line["setId"]]
+        return api.EngineList(how, engines, line.get("generation", 0))
+
+    def _decide(self, now: float, instance: str, events: list[api.Event]) -> list[Fields]:
+        try:
+            actions = [ACTIONS[type(a)](a) for a in self._instances[instance].handle(now, events)]
+        except Exception as error:  # the protocol wants the module's failure reported, whatever it is
+            actions = [{"msg": "Die", "bodyText": f"{type(error).__name__}: {error}"}]
+        for action in actions:
+            action["who"] = instance
+        return actions
+
 
 def _need(line: Fields, field: str) -> Any:
     if field not in line:
@@ -230,9 +240,9 @@
 def main() -> int:
     """Serve the wire on standard input and output."""
     try:
-        Link().run(sys.stdin, sys.stdout)
+        SimulatorAdapter().run(sys.stdin, sys.stdout)
     except WireError as error:
-        print(f"benchlink: {error}", file=sys.stderr)
+        print(f"simulator_adapter: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/tests/test_benchlink.py
+++ b/tests/test_simulator_adapter.py
@@ -11,7 +11,7 @@
 import pytest
 
 from grebeproxy import Choice, Settings
-from grebeproxy.benchlink import Link, WireError
+from grebeproxy.simulator_adapter import SimulatorAdapter, WireError
 from grebeproxy.policy import interface as api
 from grebeproxy.settings import settings_from
 
@@ -118,18 +118,18 @@
     return Recorder
 
 
-def play(*batches: list[dict[str, Any]], link: Link | None = None) -> list[dict[str, Any]]:
+def play(*batches: list[dict[str, Any]], link: SimulatorAdapter | None = None) -> list[dict[str, Any]]:
     sink = io.StringIO()
     lines: list[str] = []
     for n, batch in enumerate(batches, 1):
         messages = [{"msg": "Mark", "simTime": 1000.0 + n, "n": n}, *batch, {"msg": "End"}]
         lines += [json.dumps(message) for message in messages]
-    (link or Link()).run(lines, sink)
+    (link or SimulatorAdapter()).run(lines, sink)
     return [json.loads(line) for line in sink.getvalue().splitlines()]
 
 
-def recording(recorder: Any) -> Link:
-    return Link(recorder)
+def recording(recorder: Any) -> SimulatorAdapter:
+    return SimulatorAdapter(recorder)
 
 
 def test_an_empty_batch_is_acknowledged() -> None:
@@ -324,7 +324,7 @@
 )
 def test_malformed_lines_are_named(line: str, words: str) -> None:
     with pytest.raises(WireError, match=words.replace("[", r"\[")):
-        Link().run([line], io.StringIO())
+        SimulatorAdapter().run([line], io.StringIO())
 
 
 @pytest.mark.parametrize(
@@ -344,7 +344,7 @@
 def test_the_program_ends_with_one_plain_line_on_bad_input_and_cleanly_at_the_end() -> None:
     def run(text: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            [sys.executable, "-m", "grebeproxy.benchlink"],
+            [sys.executable, "-m", "grebeproxy.simulator_adapter"],
             input=text,
             capture_output=True,
             text=True,
