--- a/grebeproxy/config.py
+++ b/grebeproxy/config.py
@@ -15,7 +15,7 @@
 
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192.0
-MOST_DESCRIPTOR = 2**20
+MAX_DESCRIPTOR = 2**20
 
 
 class ConfigError(Exception):
@@ -151,7 +151,7 @@
 def _descriptor(told: str | None) -> int | None:
     if not told:
         return None
-    if not told.isdecimal() or int(told) > MOST_DESCRIPTOR:
+    if not told.isdecimal() or int(told) > MAX_DESCRIPTOR:
         raise ConfigError("BALANCER_SOCKET_FD: must be the number of a descriptor")
     return int(told)
 
--- a/grebeproxy/net/door.py
+++ b/grebeproxy/net/admin_protocol.py
@@ -1,4 +1,4 @@
-"""The operators' door: one line a connection, answered by a line that starts with ``ACK`` or ``NAK``."""
+"""The admin endpoint's protocol: one line, answered by one that starts with ``ACK`` or ``NAK``."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from grebeproxy.net.messages import (
     Active,
     BadFrameError,
-    DoorCall,
+    AdminCall,
     Standby,
     Status,
-    TakeBack,
-    TakeOut,
-    Unknown,
+    MaintenanceOff,
+    MaintenanceOn,
+    UnknownCall,
 )
 
-MOST_BYTES = 256
-PLAIN: dict[str, DoorCall] = {"status": Status(), "standby": Standby(), "active": Active()}
-ON_ENGINES: dict[str, Callable[[str], DoorCall]] = {"maint-on": TakeOut, "maint-off": TakeBack}
+MAX_BYTES = 256
+PLAIN: dict[str, AdminCall] = {"status": Status(), "standby": Standby(), "active": Active()}
+ON_ENGINES: dict[str, Callable[[str], AdminCall]] = {"maint-on": MaintenanceOn, "maint-off": MaintenanceOff}
 
 
 class Decoder:
@@ -32,27 +32,27 @@
         """Bytes of a call that has begun and is not whole yet."""
         return 0 if self._called else len(self._buffer)
 
-    def feed(self, data: bytes) -> Iterator[DoorCall]:
+    def feed(self, data: bytes) -> Iterator[AdminCall]:
         """The call, once its line is whole. Raises ``BadFrameError`` for a line that is too long."""
         if self._called:
             return
         self._buffer += data
         line, end, _ = self._buffer.partition(b"\n")
-        if len(line) > MOST_BYTES:
+        if len(line) > MAX_BYTES:
             raise BadFrameError("door: a line that is too long")
         if end:
             self._called = True
             yield call(line.decode("ascii", "replace"))
 
 
-def call(line: str) -> DoorCall:
+def call(line: str) -> AdminCall:
     """What a line asks for."""
     match line.split():
         case [verb] if verb in PLAIN:
             return PLAIN[verb]
         case [verb, engine] if verb in ON_ENGINES:
             return ON_ENGINES[verb](engine)
-    return Unknown()
+    return UnknownCall()
 
 
 def encode(done: bool, text: str) -> bytes:
--- a/grebeproxy/net/admission.py
+++ b/grebeproxy/net/admission.py
@@ -8,17 +8,20 @@
 from dataclasses import dataclass, field
 from typing import Generic, TypeVar
 
-OPEN_PER_CLIENT = 32
-MOST_FAULTS = 8  # requests that cannot be used, on one connection; a client that goes on so is closed on
-NEVER_ASKED = 2.0  # seconds; one that never asks, or never ends what it has begun, is owed a close within 3 s
-IDLE = 8.0  # seconds; clients themselves close connections that were idle for half of that
-SWEEP = 0.25  # seconds between looks at who is silent
-SPARE = 48  # descriptors beside clients and engines: the log, the loop's own, and those that are closed on
+MAX_OPEN_REQUESTS = 32
+MAX_FAULTS = 8  # requests that cannot be used, on one connection; a client that goes on so is closed on
+# Seconds; one that never asks, or never ends what it has begun, is owed a close within 3 s.
+FIRST_REQUEST_TIMEOUT = 2.0
+IDLE_TIMEOUT = 8.0  # seconds; clients themselves close connections that were idle for half of that
+SWEEP_INTERVAL = 0.25  # seconds between looks at who is silent
+# Descriptors beside clients and engines: the change log, the loop's own, and lingering closes.
+RESERVED_DESCRIPTORS = 48
 LINK_SHARE = 3  # a third of the descriptors may be connections to engines
-MOST_DOORS = 16  # connections of operators, which come from the descriptors for clients
-DOOR_PATIENCE = 6.0  # seconds in which a call is to be whole
-DRAIN_TAKES = 1.5  # seconds from the call to drain on for which requests on connections still open are taken
-LINGER = 0.5  # seconds for which a client that was told of the end may take to close
+MAX_ADMIN_CONNECTIONS = 16  # connections of operators, which come from the descriptors for clients
+ADMIN_CALL_TIMEOUT = 6.0  # seconds in which a call is to be whole
+# Seconds from the call to drain on for which requests on connections still open are taken.
+DRAIN_ACCEPT_PERIOD = 1.5
+HALF_CLOSE_TIMEOUT = 0.5  # seconds that a client has to close its side after the router has closed its own
 MB = 1024 * 1024
 PROGRAM_MB = 24.0  # what the program takes with nothing to do, and some more
 
@@ -27,24 +30,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What may be held at once, from the limits that the configuration tells."""
+    """What may be held at once, from the limits in the configuration."""
 
     clients: int  # connections
     links: int  # connections to engines
     bodies: int  # bytes of all statements that are open
-    begun: int  # bytes of all messages that are not whole
+    partial: int  # bytes of all messages that are not whole
     unsent: int  # bytes of all answers that clients have not read
     pages: int  # bytes of all results whose pages are not all there
 
 
-def bounds(sockets: int, memory_mb: float, *, shared: bool = False, door: bool = False) -> Bounds:
+def bounds(sockets: int, memory_mb: float, *, shared: bool = False, admin: bool = False) -> Bounds:
     """Half of what the program leaves free is for what peers make it hold; the rest is for working on it.
 
     ``shared`` limits hold for two processes together, of which one is taking over from the other. Clients are
     the same for both: together they hold no more than their third.
     """
     links = max(1, sockets // (LINK_SHARE * (1 + shared)))
-    clients = max(1, sockets - (1 + shared) * (links + SPARE + door * (MOST_DOORS + 1)))
+    clients = max(
+        1, sockets - (1 + shared) * (links + RESERVED_DESCRIPTORS + admin * (MAX_ADMIN_CONNECTIONS + 1))
+    )
     free = int(max(4.0, memory_mb / (1 + shared) - PROGRAM_MB) / 2 * MB)
     return Bounds(clients, links, free // 4, free // 4, free // 4, free // 4)
 
@@ -54,11 +59,11 @@
     """A client's connection, and the requests that are open on it, by their numbers."""
 
     conn: int
-    quiet: float  # since when it has neither asked nor been answered
-    asked: bool = False
-    begun: float | None = None  # since when a message has begun and is not whole
+    idle_since: float  # since when it has neither asked nor been answered
+    has_asked: bool = False
+    message_started_at: float | None = None  # since when a message has begun and is not whole
     faults: int = 0
-    parted: float | None = None  # since when it knows that nothing more comes; what it says is not heard
+    half_closed_at: float | None = None  # when the router ended its side; what comes since is not read
     requests: dict[int, R] = field(default_factory=dict)
 
 
@@ -71,7 +76,12 @@
     if not free:
         return None
     return min(
-        free, key=lambda client: (client.parted is None, client.asked and client.begun is None, client.quiet)
+        free,
+        key=lambda client: (
+            client.half_closed_at is None,
+            client.has_asked and client.message_started_at is None,
+            client.idle_since,
+        ),
     ).conn
 
 
@@ -80,13 +90,18 @@
     return [
         client.conn
         for client in clients.values()
-        if (client.begun is not None and now - client.begun >= NEVER_ASKED)
-        or (client.parted is not None and now - client.parted >= LINGER)
-        or (not client.requests and now - client.quiet >= (IDLE if client.asked else NEVER_ASKED))
+        if (
+            client.message_started_at is not None and now - client.message_started_at >= FIRST_REQUEST_TIMEOUT
+        )
+        or (client.half_closed_at is not None and now - client.half_closed_at >= HALF_CLOSE_TIMEOUT)
+        or (
+            not client.requests
+            and now - client.idle_since >= (IDLE_TIMEOUT if client.has_asked else FIRST_REQUEST_TIMEOUT)
+        )
     ]
 
 
-def to_part(clients: dict[int, Client[R]]) -> list[Client[R]]:
+def to_half_close(clients: dict[int, Client[R]]) -> list[Client[R]]:
     """Connections that a router which is leaving ends now: between requests, and not before the first.
 
     Guards what a client has sent and is not read yet: its first request is waited for.
@@ -94,5 +109,8 @@
     return [
         client
         for client in clients.values()
-        if client.asked and not client.requests and client.begun is None and client.parted is None
+        if client.has_asked
+        and not client.requests
+        and client.message_started_at is None
+        and client.half_closed_at is None
     ]
--- a/grebeproxy/net/changelog.py
+++ b/grebeproxy/net/changelog.py
@@ -7,18 +7,18 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from grebeproxy.net.messages import BadFrameError, News
+from grebeproxy.net.messages import BadFrameError, ChangeLogUpdate
 from grebeproxy.policy.interface import Engine, EngineList, EngineState, ListKind, Settings
 
 HEAD = struct.Struct(">IQB")
 RECORD = struct.Struct(">IIHBBBHIQ")
 AFTER_LENGTH = HEAD.size - 4
-MOST_BYTES = AFTER_LENGTH + 16384 * RECORD.size
+MAX_BYTES = AFTER_LENGTH + 16384 * RECORD.size
 NOTHING, WHOLE, CHANGES = 0, 1, 2
 STATES = (EngineState.UP, EngineState.DRAINING, EngineState.GONE)
 STATE_NAMES = {"Ready": EngineState.UP, "Terminating": EngineState.DRAINING, "Gone": EngineState.GONE}
 
-Clock = Callable[[int], float]  # a Unix millisecond on the clock that the module is told
+Clock = Callable[[int], float]  # a Unix millisecond on the module's clock
 
 
 def hello(seq: int) -> bytes:
@@ -42,21 +42,21 @@
         """Bytes of a frame that has begun and is not whole yet."""
         return len(self._buffer)
 
-    def feed(self, data: bytes) -> Iterator[News]:
+    def feed(self, data: bytes) -> Iterator[ChangeLogUpdate]:
         """The events that these bytes complete."""
         self._buffer += data
         while len(self._buffer) >= HEAD.size:
             length, seq, kind = HEAD.unpack_from(self._buffer)
             whole_records = not (length - AFTER_LENGTH) % RECORD.size
-            if not AFTER_LENGTH <= length <= MOST_BYTES or not whole_records or kind > CHANGES:
+            if not AFTER_LENGTH <= length <= MAX_BYTES or not whole_records or kind > CHANGES:
                 raise BadFrameError(f"change log: a frame of kind {kind} and length {length}")
             if len(self._buffer) < 4 + length:
                 return
             records = bytes(self._buffer[HEAD.size : 4 + length])
             del self._buffer[: 4 + length]
-            yield News(seq) if kind == NOTHING else self._news(seq, kind, records)
+            yield ChangeLogUpdate(seq) if kind == NOTHING else self._update(seq, kind, records)
 
-    def _news(self, seq: int, kind: int, records: bytes) -> News:
+    def _update(self, seq: int, kind: int, records: bytes) -> ChangeLogUpdate:
         engines, addresses = [], {}
         for number, host, port, state, zone, shape, cell, weight, started in RECORD.iter_unpack(records):
             if state >= len(STATES) or zone >= len(self._zones) or shape >= len(self._kinds):
@@ -75,10 +75,10 @@
                 )
             )
         how = ListKind.FULL if kind == WHOLE else ListKind.CHANGES
-        return News(seq, EngineList(how, tuple(engines), seq), addresses)
+        return ChangeLogUpdate(seq, EngineList(how, tuple(engines), seq), addresses)
 
 
-def known_events(known: dict[str, Any], clock: Clock) -> Iterator[News]:
+def known_events(known: dict[str, Any], clock: Clock) -> Iterator[ChangeLogUpdate]:
     """The events that the configuration holds, in order. Raises ValueError or KeyError naming the field."""
     for position, result in enumerate(known["results"]):
         fleet, seq = result["fleet"], int(result["seq"])
@@ -99,7 +99,7 @@
             )
         whole = fleet.get("snapshot") or not position  # the first event holds the full list
         how = ListKind.FULL if whole else ListKind.CHANGES
-        yield News(seq, EngineList(how, tuple(engines), seq), addresses)
+        yield ChangeLogUpdate(seq, EngineList(how, tuple(engines), seq), addresses)
 
 
 def host_and_port(address: str) -> tuple[str, int]:
--- a/grebeproxy/net/connections/change_log.py
+++ b/grebeproxy/net/connections/change_log.py
@@ -6,7 +6,7 @@
 
 from grebeproxy.net import changelog, events
 from grebeproxy.net.connections.base import Connection, Host
-from grebeproxy.net.messages import News
+from grebeproxy.net.messages import ChangeLogUpdate
 
 
 class ChangeLogConnection(Connection):
@@ -20,12 +20,12 @@
         """Ask for what came after the last event."""
         assert self.transport is not None
         self.transport.write(changelog.hello(self._seq))
-        self.host.feed(events.LogOpened(self._dial))
+        self.host.feed(events.ChangeLogOpened(self._dial))
 
     def received(self, message: object) -> events.Event:
         """An event of the log."""
-        return events.LogSaid(cast(News, message))
+        return events.ChangeLogReceived(cast(ChangeLogUpdate, message))
 
     def closed(self, reason: str) -> events.Event:
         """The connection is gone."""
-        return events.LogClosed(reason, self._dial)
+        return events.ChangeLogClosed(reason, self._dial)
--- a/grebeproxy/net/connections/client.py
+++ b/grebeproxy/net/connections/client.py
@@ -54,7 +54,7 @@
 
     def received(self, message: object) -> events.Event:
         """A client's message."""
-        return events.ClientSaid(self.number, cast(FromClient, message))
+        return events.ClientMessageReceived(self.number, cast(FromClient, message))
 
     def log_unreadable(self, text: str) -> None:
         """Some clients send nothing else."""
@@ -62,9 +62,9 @@
 
     def received_part(self) -> list[events.Event]:
         """A part of a message; all that clients have begun is bounded together."""
-        if self._clients.partial_bytes() > self._bounds.begun:
+        if self._clients.partial_bytes() > self._bounds.partial:
             self.end("too much is begun and not whole")
-        return [events.ClientBegun(self.number)]
+        return [events.ClientMessageStarted(self.number)]
 
     def closed(self, reason: str) -> events.Event:
         """Count it out."""
--- a/grebeproxy/net/connections/engine.py
+++ b/grebeproxy/net/connections/engine.py
@@ -24,11 +24,11 @@
 
     def received(self, message: object) -> events.Event:
         """An engine's answer."""
-        return events.LinkSaid(self.number, cast(EngineAnswer, message))
+        return events.LinkAnswerReceived(self.number, cast(EngineAnswer, message))
 
     def received_part(self) -> list[events.Event]:
         """A part of an answer."""
-        return [events.LinkBegun(self.number)]
+        return [events.LinkAnswerStarted(self.number)]
 
     def closed(self, reason: str) -> events.Event:
         """The connection is gone."""
--- a/grebeproxy/net/effects.py
+++ b/grebeproxy/net/effects.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from grebeproxy.net import events, hands, msgpack_rpc, resp
+from grebeproxy.net import events, manual_overrides, msgpack_rpc, resp
 from grebeproxy.net.connections import AdminConnection, ClientConnections, EngineConnection
 
 
@@ -19,10 +19,10 @@
     def open_link(self, number: int, address: events.Address) -> None:
         """Connect to an engine."""
 
-    def open_change_log(self, effect: events.OpenLog) -> None:
+    def open_change_log(self, effect: events.OpenChangeLog) -> None:
         """Connect to the change log, ending an earlier connection."""
 
-    def save_overrides(self, calls: hands.Calls) -> None:
+    def save_overrides(self, calls: manual_overrides.Calls) -> None:
         """Write the manual overrides for this router's other processes."""
 
     def wake_at(self, at: float) -> None:
@@ -45,19 +45,19 @@
     """Carry the effects out, in order."""
     for effect in effects:
         match effect:
-            case events.Answer() | events.CloseClient() | events.PartClient():
+            case events.Answer() | events.CloseClient() | events.HalfCloseClient():
                 _on_client(target, effect)
             case events.OpenLink() | events.Write() | events.CloseLink():
                 _on_engine(target, effect)
-            case events.AnswerDoor() | events.CloseDoor():
+            case events.AnswerAdmin() | events.CloseAdmin():
                 _on_admin(target, effect)
-            case events.OpenLog():
+            case events.OpenChangeLog():
                 target.open_change_log(effect)
-            case events.SaveHands(calls):
+            case events.SaveOverrides(calls):
                 target.save_overrides(calls)
             case events.Wake(at):
                 target.wake_at(at)
-            case events.Note(text):
+            case events.LogLine(text):
                 target.log(text)
             case events.StartListening():
                 target.start_listening()
@@ -67,14 +67,16 @@
                 target.exit()
 
 
-def _on_client(target: EffectTarget, effect: events.Answer | events.CloseClient | events.PartClient) -> None:
+def _on_client(
+    target: EffectTarget, effect: events.Answer | events.CloseClient | events.HalfCloseClient
+) -> None:
     client = target.clients.get(effect.conn)
     if client is None:
         return
     match effect:
         case events.Answer(_, message):
             client.write(msgpack_rpc.encode(message))
-        case events.PartClient():
+        case events.HalfCloseClient():
             client.half_close()
         case events.CloseClient(number):
             del target.clients[number]
@@ -94,12 +96,12 @@
                 closed.close()
 
 
-def _on_admin(target: EffectTarget, effect: events.AnswerDoor | events.CloseDoor) -> None:
+def _on_admin(target: EffectTarget, effect: events.AnswerAdmin | events.CloseAdmin) -> None:
     connection = target.admins.pop(effect.conn, None)
     if connection is None:
         return
     match effect:
-        case events.AnswerDoor(_, done, text):
+        case events.AnswerAdmin(_, done, text):
             connection.answer(done, text)
-        case events.CloseDoor():
+        case events.CloseAdmin():
             connection.close()
--- a/grebeproxy/net/events.py
+++ b/grebeproxy/net/events.py
@@ -1,12 +1,12 @@
-"""What the router's reducer is told, and the effects that it asks for. They name no wire."""
+"""The events that the router's reducer takes, and the effects that it asks for. They name no protocol."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Union
 
-from grebeproxy.net.hands import Calls
-from grebeproxy.net.messages import DoorCall, EngineAnswer, FromClient, News, ToClient, ToEngine
+from grebeproxy.net.manual_overrides import Calls
+from grebeproxy.net.messages import AdminCall, EngineAnswer, FromClient, ChangeLogUpdate, ToClient, ToEngine
 from grebeproxy.policy.interface import Settings
 from grebeproxy.settings import WireLimits
 
@@ -24,14 +24,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientBegun:
+class ClientMessageStarted:
     """A client's message has begun and is not whole."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
-class ClientSaid:
+class ClientMessageReceived:
     """A client's message, read whole."""
 
     conn: int
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LinkSaid:
+class LinkAnswerReceived:
     """An engine's answer, read whole."""
 
     link: int
@@ -83,29 +83,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LinkBegun:
+class LinkAnswerStarted:
     """An engine's answer has begun and is not whole."""
 
     link: int
 
 
 @dataclass(frozen=True, slots=True)
-class LogOpened:
-    """The connection to the change log is up, and asked for what is new; ``dial`` as in ``OpenLog``."""
+class ChangeLogOpened:
+    """The connection to the change log is up, and asked for what is new; ``dial`` as in ``OpenChangeLog``."""
 
     dial: int
 
 
 @dataclass(frozen=True, slots=True)
-class LogSaid:
+class ChangeLogReceived:
     """An event of the change log."""
 
-    news: News
+    update: ChangeLogUpdate
 
 
 @dataclass(frozen=True, slots=True)
-class LogClosed:
-    """The connection to the change log, as told by ``OpenLog``, has ended or could not be made."""
+class ChangeLogClosed:
+    """The connection to the change log, made for ``OpenChangeLog``, has ended or could not be made."""
 
     reason: str
     dial: int
@@ -113,34 +113,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Woken:
-    """The time asked for with ``Wake`` has come, and all that came on sockets until then has been told."""
+    """The time asked for with ``Wake`` has come, and what came on sockets until then has been reported."""
 
 
 @dataclass(frozen=True, slots=True)
-class DoorOpened:
+class AdminOpened:
     """An operator has connected."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
-class DoorSaid:
+class AdminCallReceived:
     """An operator's call."""
 
     conn: int
-    call: DoorCall
+    call: AdminCall
 
 
 @dataclass(frozen=True, slots=True)
-class DoorClosed:
+class AdminClosed:
     """An operator's connection has ended."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
-class HandsRead:
-    """What the processes of this router have put down of engines taken out by hand."""
+class OverridesRead:
+    """The manual overrides that another process of this router has written."""
 
     calls: Calls
 
@@ -155,25 +155,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StopAsked:
+class StopRequested:
     """The router is to finish what it has and end."""
 
 
-LinkEvent = Union[LinkOpened, LinkClosed, LinkPaused, LinkResumed, LinkSaid, LinkBegun]
-DoorEvent = Union[DoorOpened, DoorSaid, DoorClosed]
-LogEvent = Union[LogOpened, LogSaid, LogClosed]
+LinkEvent = Union[LinkOpened, LinkClosed, LinkPaused, LinkResumed, LinkAnswerReceived, LinkAnswerStarted]
+AdminEvent = Union[AdminOpened, AdminCallReceived, AdminClosed]
+ChangeLogEvent = Union[ChangeLogOpened, ChangeLogReceived, ChangeLogClosed]
 Event = Union[
     ClientOpened,
-    ClientBegun,
-    ClientSaid,
+    ClientMessageStarted,
+    ClientMessageReceived,
     ClientClosed,
     LinkEvent,
-    LogEvent,
-    DoorEvent,
-    HandsRead,
+    ChangeLogEvent,
+    AdminEvent,
+    OverridesRead,
     Woken,
     Reloaded,
-    StopAsked,
+    StopRequested,
 ]
 
 
@@ -196,14 +196,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PartClient:
-    """Tell a client that nothing more comes on its connection; ``ClientClosed`` follows."""
+class HalfCloseClient:
+    """End the router's side of a client's connection; ``ClientClosed`` follows."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerDoor:
+class AnswerAdmin:
     """Answer an operator's call and end the connection."""
 
     conn: int
@@ -212,15 +212,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CloseDoor:
+class CloseAdmin:
     """End an operator's connection with no answer."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
-class SaveHands:
-    """Put down what is known of engines taken out by hand, for this router's other processes."""
+class SaveOverrides:
+    """Write the manual overrides for this router's other processes."""
 
     calls: Calls
 
@@ -249,10 +249,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OpenLog:
+class OpenChangeLog:
     """Connect to the change log, ending an earlier connection, and ask for what came after an event.
 
-    ``dial`` is its number: what an earlier connection still tells of itself says nothing of this one.
+    ``dial`` is its number: what an earlier connection still reports says nothing of this one.
     """
 
     address: Address
@@ -268,7 +268,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogLine:
     """Write a line to the log."""
 
     text: str
@@ -292,16 +292,16 @@
 Effect = Union[
     Answer,
     CloseClient,
-    PartClient,
-    AnswerDoor,
-    CloseDoor,
-    SaveHands,
+    HalfCloseClient,
+    AnswerAdmin,
+    CloseAdmin,
+    SaveOverrides,
     OpenLink,
     Write,
     CloseLink,
-    OpenLog,
+    OpenChangeLog,
     Wake,
-    Note,
+    LogLine,
     StartListening,
     StopListening,
     Exit,
--- a/grebeproxy/net/follower.py
+++ b/grebeproxy/net/follower.py
@@ -1,21 +1,25 @@
 """How the change log is followed: what comes next, when its silence is a break, where it is asked anew.
 
-Plain state and functions; the reducer calls them and carries the times and effects.
+Plain state and functions; the reducer calls them and has their times and effects carried out.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from grebeproxy.net.events import Address, OpenLog
-from grebeproxy.net.messages import News
+from grebeproxy.net.events import Address, OpenChangeLog
+from grebeproxy.net.messages import ChangeLogUpdate
 from grebeproxy.policy.interface import ListKind
 
 FRAMES = 1.0  # seconds from one frame to the next, where nothing is new
-LATE, LATE_MOST = 0.2, 0.6  # seconds that a frame may be late before it is missed
-BACKOFF, BACKOFF_MOST = 0.05, 0.4
-PATIENCE = 0.4  # seconds in which a connection is to come up; twice as long after each one that did not
-FIRST_NEWS = 0.25  # seconds for which a starting router waits to hear of the engines before it takes clients
+MIN_LATENESS, MAX_LATENESS = 0.2, 0.6  # seconds that a frame may be late before it is missed
+BACKOFF, MAX_BACKOFF = 0.05, 0.4
+CONNECT_TIMEOUT = (
+    0.4  # seconds in which a connection is to come up; twice as long after each one that did not
+)
+FIRST_EVENT_TIMEOUT = (
+    0.25  # seconds for which a starting router waits to hear of the engines before it takes clients
+)
 
 
 @dataclass(slots=True)
@@ -23,30 +27,30 @@
     """The connection to the change log and the last event that was applied."""
 
     address: Address
-    heard: float
+    last_heard: float
     seq: int = 0
     backoff: float = BACKOFF
-    patience: float = PATIENCE
+    connect_timeout: float = CONNECT_TIMEOUT
     open: bool = False
     up: bool = False  # what is dialled has come up
     dials: int = 0  # tells a connection's timers from those of an earlier one
 
 
-def dial(log: Follower, now: float) -> OpenLog:
+def dial(log: Follower, now: float) -> OpenChangeLog:
     """Ask for what came after the last event."""
-    log.open, log.up, log.heard, log.dials = True, False, now, log.dials + 1
-    return OpenLog(log.address, log.seq, log.dials)
+    log.open, log.up, log.last_heard, log.dials = True, False, now, log.dials + 1
+    return OpenChangeLog(log.address, log.seq, log.dials)
 
 
 def opened(log: Follower, now: float) -> None:
     """The connection is up, and asked for what is new."""
-    log.up, log.heard = True, now
+    log.up, log.last_heard = True, now
 
 
 def lose(log: Follower) -> float:
     """The connection is of no more use; tells after how long to dial again, longer each time in vain."""
     log.open, delay = False, log.backoff
-    log.backoff = min(BACKOFF_MOST, 2 * log.backoff)
+    log.backoff = min(MAX_BACKOFF, 2 * log.backoff)
     return delay
 
 
@@ -58,31 +62,35 @@
     seconds: what is left of it is for a connection that hangs and one that does not.
     """
     if log.up:
-        return log.heard + FRAMES + min(LATE_MOST, max(LATE, grace - FRAMES - 1.5 * PATIENCE))
-    return log.heard + log.patience
+        return (
+            log.last_heard
+            + FRAMES
+            + min(MAX_LATENESS, max(MIN_LATENESS, grace - FRAMES - 1.5 * CONNECT_TIMEOUT))
+        )
+    return log.last_heard + log.connect_timeout
 
 
 def hung(log: Follower) -> None:
     """The connection has had its time. The next is dialled at once, and has more where this never came up."""
     log.open = False
     if not log.up:
-        log.patience = min(FRAMES + LATE_MOST, 2 * log.patience)
+        log.connect_timeout = min(FRAMES + MAX_LATENESS, 2 * log.connect_timeout)
 
 
 def move(log: Follower, address: Address) -> bool:
     """The log is elsewhere from now on; tells whether it is to be dialled, from the last event, at once."""
     if address == log.address:
         return False
-    log.address, log.backoff, log.patience = address, BACKOFF, PATIENCE
+    log.address, log.backoff, log.connect_timeout = address, BACKOFF, CONNECT_TIMEOUT
     return True
 
 
-def read(log: Follower, news: News, now: float) -> bool:
+def read(log: Follower, update: ChangeLogUpdate, now: float) -> bool:
     """Tells whether an event is to be applied. Raises ``ValueError`` when events before it are missing."""
-    log.heard, log.backoff, log.patience = now, BACKOFF, PATIENCE
-    if news.change is None or news.seq <= log.seq:  # a sign of life, or an event that is told twice
+    log.last_heard, log.backoff, log.connect_timeout = now, BACKOFF, CONNECT_TIMEOUT
+    if update.change is None or update.seq <= log.seq:  # a sign of life, or an event that comes twice
         return False
-    if news.change.how is not ListKind.FULL and news.seq != log.seq + 1:
-        raise ValueError(f"event {news.seq} came after {log.seq}")
-    log.seq = news.seq
+    if update.change.how is not ListKind.FULL and update.seq != log.seq + 1:
+        raise ValueError(f"event {update.seq} came after {log.seq}")
+    log.seq = update.seq
     return True
--- a/grebeproxy/net/listener.py
+++ b/grebeproxy/net/listener.py
@@ -11,12 +11,12 @@
 from collections.abc import Callable
 
 BACKLOG = 1024  # connections that the machine holds until they are taken
-ACCEPTS = 16  # connections taken before what has come on others is read
+ACCEPTS_PER_TURN = 16  # connections taken before what has come on others is read
 ACCEPT_PAUSE = 0.05  # seconds without descriptors
-CLOSE_WITHIN = 0.5  # seconds for what waits when no more is to be heard
+DRAIN_TIMEOUT = 0.5  # seconds for what waits when no more is to be heard
 
 
-def bound(address: tuple[str, int]) -> socket.socket:
+def bind(address: tuple[str, int]) -> socket.socket:
     """A socket bound to ``host, port``, not heard from yet. Raises ``OSError`` where it cannot be had."""
     listener = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
     try:
@@ -28,7 +28,7 @@
     return listener
 
 
-def inherited(descriptor: int) -> socket.socket:
+def adopt(descriptor: int) -> socket.socket:
     """The listening socket that the platform holds under a descriptor. Raises ``OSError`` for another one."""
     listener = socket.socket(fileno=descriptor)
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
@@ -38,19 +38,19 @@
 
 
 class Listener:
-    """Takes connections from a socket; ``short`` is told why none can be taken."""
+    """Takes connections from a socket; ``on_shortage`` is called with the reason where none can be taken."""
 
     def __init__(
         self,
         listener: socket.socket,
-        made: Callable[[], asyncio.Protocol],
-        short: Callable[[str], None],
+        new_protocol: Callable[[], asyncio.Protocol],
+        on_shortage: Callable[[str], None],
         *,
         shared: bool = False,
     ) -> None:
         listener.setblocking(False)
         self._socket: socket.socket | None = listener
-        self._made, self._short, self._shared = made, short, shared
+        self._new_protocol, self._on_shortage, self._shared = new_protocol, on_shortage, shared
         self._accepting: set[asyncio.Task[object]] = set()
         self._open = False
         self._close_by: float | None = None  # it is being closed, and by when it has to be
@@ -71,7 +71,7 @@
         if self._shared or not self._open:
             self._end()
         elif self._close_by is None:
-            self._close_by = asyncio.get_running_loop().time() + CLOSE_WITHIN
+            self._close_by = asyncio.get_running_loop().time() + DRAIN_TIMEOUT
             self._accept()
 
     def _end(self) -> None:
@@ -91,7 +91,7 @@
         loop = asyncio.get_running_loop()
         if self._close_by is not None and loop.time() >= self._close_by:
             self._end()
-        for _ in range(ACCEPTS):
+        for _ in range(ACCEPTS_PER_TURN):
             if self._socket is None:
                 return
             try:
@@ -101,11 +101,13 @@
                     self._end()  # nobody waits any more
                 return  # also where another process on the same socket was quicker
             except OSError as error:  # no descriptor is left
-                self._short(f"listen: {error}")
+                self._on_shortage(f"listen: {error}")
                 loop.remove_reader(self._socket)
                 loop.call_later(ACCEPT_PAUSE, self._listen)
                 return
             taken.setblocking(False)
-            task: asyncio.Task[object] = loop.create_task(loop.connect_accepted_socket(self._made, taken))
+            task: asyncio.Task[object] = loop.create_task(
+                loop.connect_accepted_socket(self._new_protocol, taken)
+            )
             self._accepting.add(task)
             task.add_done_callback(self._accepting.discard)
--- a/grebeproxy/net/messages.py
+++ b/grebeproxy/net/messages.py
@@ -13,7 +13,7 @@
     """Bytes that the protocol does not allow; the connection they came on cannot be read on."""
 
 
-# --- what clients say
+# --- from clients
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
 FromClient = Union[Call, Invalid, GiveUp, Ping]
 
 
-# --- what clients are told
+# --- to clients
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
 ToClient = Union[Served, Refused, Failed, Pong]
 
 
-# --- what engines are told
+# --- to engines
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,10 +144,10 @@
 ToEngine = Union[Run, Stop, Fetch, End, Hello]
 
 
-# --- what engines say
+# --- from engines
 
 
-class Word(Enum):
+class AnswerKind(Enum):
     """What an engine's answer is."""
 
     OK = "ok"
@@ -156,7 +156,7 @@
     STALE = "stale"
     PAGE = "page"
     ALIVE = "alive"
-    SPOILT = "spoilt"  # it says what cannot be
+    INVALID = "spoilt"  # it says what cannot be
 
 
 @dataclass(frozen=True, slots=True)
@@ -164,18 +164,18 @@
     """An answer; ``pages`` comes with OK, ``page`` with PAGE."""
 
     txn: str
-    word: Word
+    kind: AnswerKind
     body: bytes = b""
     pages: int = 1
     page: int = 0
     report: dict[str, float] | None = None
 
 
-# --- what the change log says
+# --- from the change log
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class ChangeLogUpdate:
     """One event of the change log; without a list it only says that the log is alive.
 
     ``addresses`` holds host and port by engine id.
@@ -186,7 +186,7 @@
     addresses: dict[str, tuple[str, int]] | None = None
 
 
-# --- what operators say at the door
+# --- from operators, at the admin endpoint
 
 
 @dataclass(frozen=True, slots=True)
@@ -195,14 +195,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakeOut:
+class MaintenanceOn:
     """Nothing new is to go to an engine, whatever the list says."""
 
     engine: str
 
 
 @dataclass(frozen=True, slots=True)
-class TakeBack:
+class MaintenanceOff:
     """The engine may serve again."""
 
     engine: str
@@ -219,8 +219,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unknown:
+class UnknownCall:
     """A line that is no call."""
 
 
-DoorCall = Union[Status, TakeOut, TakeBack, Standby, Active, Unknown]
+AdminCall = Union[Status, MaintenanceOn, MaintenanceOff, Standby, Active, UnknownCall]
--- a/grebeproxy/net/msgpack_rpc.py
+++ b/grebeproxy/net/msgpack_rpc.py
@@ -26,7 +26,7 @@
 from grebeproxy.shapes.scanner import table_group
 
 REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2
-MOST_BYTES, MOST_ITEMS = 64 * 1024, 64  # of one message: a statement and a few fields
+MAX_BYTES, MAX_ITEMS = 64 * 1024, 64  # of one message: a statement and a few fields
 TOPS = (0x93, 0x94)  # an array of three or four
 # From 0xc0 on: bytes of the header or of all, how many of them tell a length, and values for each it tells.
 HEADERS = (
@@ -63,7 +63,7 @@
     (3, 2, 2),
     (5, 4, 2),
 )
-MOST_MS, MOST_ID = 3_600_000.0, 2**32 - 1
+MAX_MS, MAX_ID = 3_600_000.0, 2**32 - 1
 # float() alone would also take "nan", "1_0", " 1" and digits of other scripts.
 FIGURE = re.compile(r"[0-9]{1,12}(\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?")
 TXN = re.compile(r"[0-9a-fA-F]{16}")
@@ -139,10 +139,10 @@
                     raise ValueError(f"type {first:#x} has no place in a message")
                 if at + fixed > len(buffer):
                     return False
-                told = int.from_bytes(buffer[at + 1 : at + 1 + width], "big")
-                size, inner = (fixed, counted * told) if counted else (fixed + told, 0)
+                length = int.from_bytes(buffer[at + 1 : at + 1 + width], "big")
+                size, inner = (fixed, counted * length) if counted else (fixed + length, 0)
             self._items += inner
-            if self._at + size > MOST_BYTES or self._items > MOST_ITEMS:
+            if self._at + size > MAX_BYTES or self._items > MAX_ITEMS:
                 raise ValueError("a message that is too long")
             if at + size > len(buffer):
                 return False
@@ -152,7 +152,7 @@
 
     def _message(self, message: object) -> FromClient:
         match message:
-            case [int(), int(msg), *_] if not 0 <= msg <= MOST_ID:
+            case [int(), int(msg), *_] if not 0 <= msg <= MAX_ID:
                 raise ValueError("a message id that cannot be")
             case [int(kind), str("giveUp"), [int(msg)]] if kind == NOTIFICATION:
                 return GiveUp(msg)
@@ -220,7 +220,7 @@
     return _text(fields, name, fits) if name in fields else None
 
 
-def _number(fields: dict[Any, Any], name: str, most: float = MOST_MS) -> float:
+def _number(fields: dict[Any, Any], name: str, most: float = MAX_MS) -> float:
     value = float(_text(fields, name, FIGURE.fullmatch))
     if value > most or (name == "limit" and not value):
         raise _FieldError(name)
--- a/grebeproxy/net/handsfile.py
+++ b/grebeproxy/net/override_file.py
@@ -1,4 +1,4 @@
-"""The file by which the processes of one router tell each other what operators have set. Decides nothing."""
+"""The file that carries manual overrides between the processes of one router. Decides nothing."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 import os
 from pathlib import Path
 
-from grebeproxy.net import hands
+from grebeproxy.net import manual_overrides
 
-LOOK = 0.25  # seconds between looks at the file
-MOST_BYTES = 256 * 1024
+POLL_INTERVAL = 0.25  # seconds between two looks at the file
+MAX_BYTES = 256 * 1024
 
 
-class HandsFile:
+class OverrideFile:
     """One router's file in a folder."""
 
     def __init__(self, folder: Path, name: str) -> None:
@@ -20,34 +20,34 @@
         self.path = folder / f"grebeproxy-{''.join(c if c.isalnum() else '-' for c in name)}.hands"
         self._seen: tuple[int, int, int] | None = None
 
-    def read(self) -> hands.Calls | None:
+    def read(self) -> manual_overrides.Calls | None:
         """What it says, where it has changed since the last look or writing.
 
-        Raises ``OSError``, or ``hands.HandsError`` for what is torn or another router's.
+        Raises ``OSError``, or ``OverrideFileError`` for what is torn or another router's.
         """
         try:
             with self.path.open("rb") as file:
-                seen = _mark(os.fstat(file.fileno()))
+                seen = _identity(os.fstat(file.fileno()))
                 if seen == self._seen:
                     return None
                 self._seen = seen
-                return hands.decode(self._name, file.read(MOST_BYTES))
+                return manual_overrides.decode(self._name, file.read(MAX_BYTES))
         except FileNotFoundError:
             return None
 
-    def write(self, calls: hands.Calls) -> None:
+    def write(self, calls: manual_overrides.Calls) -> None:
         """Put the calls there, whole or not at all. Raises ``OSError``."""
         beside = self.path.with_suffix(f".{os.getpid()}")
         try:
-            beside.write_bytes(hands.encode(self._name, calls))
-            mark = _mark(beside.stat())
+            beside.write_bytes(manual_overrides.encode(self._name, calls))
+            identity = _identity(beside.stat())
             beside.replace(self.path)
-            self._seen = mark
+            self._seen = identity
         except OSError:
             with contextlib.suppress(OSError):
                 beside.unlink()
             raise
 
 
-def _mark(told: os.stat_result) -> tuple[int, int, int]:
-    return told.st_ino, told.st_mtime_ns, told.st_size
+def _identity(status: os.stat_result) -> tuple[int, int, int]:
+    return status.st_ino, status.st_mtime_ns, status.st_size
--- a/grebeproxy/net/override_sync.py
+++ b/grebeproxy/net/override_sync.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from grebeproxy.net import events, hands
-from grebeproxy.net.handsfile import LOOK, HandsFile
+from grebeproxy.net import events, manual_overrides
+from grebeproxy.net.override_file import POLL_INTERVAL, OverrideFile
 from grebeproxy.net.timers import LoopTimers
 
 
@@ -14,7 +14,7 @@
 
     def __init__(
         self,
-        file: HandsFile,
+        file: OverrideFile,
         timers: LoopTimers,
         feed: Callable[[events.Event], None],
         log: Callable[[str], None],
@@ -26,12 +26,12 @@
         try:
             calls = self._file.read()
             if calls is not None:
-                self._feed(events.HandsRead(calls))
-        except (OSError, hands.HandsError) as error:
+                self._feed(events.OverridesRead(calls))
+        except (OSError, manual_overrides.OverrideFileError) as error:
             self._log(f"{self._file.path.name}: not used: {error}")
-        self._timers.call_later(LOOK, self.poll)
+        self._timers.call_later(POLL_INTERVAL, self.poll)
 
-    def save(self, calls: hands.Calls) -> None:
+    def save(self, calls: manual_overrides.Calls) -> None:
         """Write the calls for the other processes."""
         try:
             self._file.write(calls)
--- a/grebeproxy/net/resp.py
+++ b/grebeproxy/net/resp.py
@@ -8,19 +8,29 @@
 
 import hiredis
 
-from grebeproxy.net.messages import BadFrameError, End, EngineAnswer, Fetch, Hello, Run, Stop, ToEngine, Word
+from grebeproxy.net.messages import (
+    BadFrameError,
+    End,
+    EngineAnswer,
+    Fetch,
+    Hello,
+    Run,
+    Stop,
+    ToEngine,
+    AnswerKind,
+)
 from grebeproxy.settings import report_from
 
-MOST_WORDS = (64, 16, 1024, 6000)  # bytes of an answer's id, word, fields and page
-MOST_PAGES = 64  # above the 8 of a result
-HEAD, MOST_LINE = b"*4", 16
-WORDS = {
-    b"ok": Word.OK,
-    b"refused": Word.FULL,
-    b"error": Word.ERROR,
-    b"stale": Word.STALE,
-    b"batch": Word.PAGE,
-    b"yes": Word.ALIVE,
+MAX_PART_BYTES = (64, 16, 1024, 6000)  # bytes of an answer's id, word, fields and page
+MAX_PAGES = 64  # above the 8 of a result
+HEAD, MAX_LINE = b"*4", 16
+ANSWER_KINDS = {
+    b"ok": AnswerKind.OK,
+    b"refused": AnswerKind.FULL,
+    b"error": AnswerKind.ERROR,
+    b"stale": AnswerKind.STALE,
+    b"batch": AnswerKind.PAGE,
+    b"yes": AnswerKind.ALIVE,
 }
 
 
@@ -67,7 +77,7 @@
         """The answers that these bytes complete."""
         self._buffer += data
         while self._read():
-            if self._words is not None and len(self._words) == len(MOST_WORDS):
+            if self._words is not None and len(self._words) == len(MAX_PART_BYTES):
                 words, self._words = self._words, None
                 yield _answer(*words)
         del self._buffer[: self._at]
@@ -75,10 +85,10 @@
 
     def _read(self) -> bool:
         """Read the head of an answer or one of its words, if that is there whole."""
-        end = self._buffer.find(b"\r\n", self._at, self._at + MOST_LINE)
+        end = self._buffer.find(b"\r\n", self._at, self._at + MAX_LINE)
         line = bytes(self._buffer[self._at : end])
         if end < 0:
-            if len(self._buffer) - self._at >= MOST_LINE:
+            if len(self._buffer) - self._at >= MAX_LINE:
                 raise BadFrameError("engine: a line without end where a length was due")
             return False
         if self._words is None:
@@ -90,7 +100,7 @@
             raise BadFrameError("engine: not a bulk string")
         start, size = end + 2, int(line[1:])
         # Guards the memory, on the length alone: what is said to have 3 GB ends before it is buffered.
-        if size > MOST_WORDS[len(self._words)]:
+        if size > MAX_PART_BYTES[len(self._words)]:
             raise BadFrameError("engine: an answer that is too long")
         if len(self._buffer) < start + size + 2:
             return False
@@ -104,17 +114,17 @@
 
 def _answer(txn: bytes, word: bytes, fields: bytes, body: bytes) -> EngineAnswer:
     """An answer that is framed as it should be; one that says what cannot be is told as spoilt."""
-    name, kind = txn.decode(errors="replace"), WORDS.get(word, Word.SPOILT)
+    name, kind = txn.decode(errors="replace"), ANSWER_KINDS.get(word, AnswerKind.INVALID)
     try:
         named = dict(item.split("=", 1) for item in fields.decode().split(",")) if fields != b"-" else {}
         pages, page = int(named.get("count", 1)), int(named.get("pos", 0))
         report = _report(named.get("gauges"))
     except ValueError:
-        return EngineAnswer(name, Word.SPOILT)
+        return EngineAnswer(name, AnswerKind.INVALID)
     # Guards against passing on noise: a page is whole rows of three columns.
     rows = not body or (body.endswith(b"\n") and body.count(b"\t") == 2 * body.count(b"\n"))
-    if not (1 <= pages <= MOST_PAGES and 0 <= page < MOST_PAGES and (rows or kind is Word.ERROR)):
-        return EngineAnswer(name, Word.SPOILT)
+    if not (1 <= pages <= MAX_PAGES and 0 <= page < MAX_PAGES and (rows or kind is AnswerKind.ERROR)):
+        return EngineAnswer(name, AnswerKind.INVALID)
     return EngineAnswer(name, kind, body, pages, page, report)
 
 
--- a/grebeproxy/net/router/answers.py
+++ b/grebeproxy/net/router/answers.py
@@ -23,9 +23,9 @@
         client = self._clients.get(request.conn)
         if client is not None:
             client.requests.pop(request.call.msg, None)
-            client.quiet = self.now
+            client.idle_since = self.now
 
     def _forget(self, request: Request) -> None:
-        if not request.owed and request.out is None and request.call.txn in self._requests:
+        if not request.owed and request.in_flight is None and request.call.txn in self._requests:
             del self._requests[request.call.txn]
             self._bodies -= len(request.call.body)
--- a/grebeproxy/net/router/attempts.py
+++ b/grebeproxy/net/router/attempts.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from grebeproxy.net.events import Note
-from grebeproxy.net.messages import End, EngineAnswer, Fetch, Hello, Served, Stop, Word
+from grebeproxy.net.events import LogLine
+from grebeproxy.net.messages import End, EngineAnswer, Fetch, Hello, Served, Stop, AnswerKind
 from grebeproxy.net.router.links import Links, SETTLE
 from grebeproxy.net.router.records import Attempt, Link
 from grebeproxy.policy import interface as api
 
-MOST_RESULT = 48_000  # bytes
+MAX_RESULT_BYTES = 48_000  # bytes
 
 
 class Attempts(Links):
@@ -24,15 +24,15 @@
             action.engine,
             self.now,
             min(action.until, request.due),
-            by=float("inf") if action.by is None else action.by,
+            send_by=float("inf") if action.by is None else action.by,
         )
         request.attempts += 1
-        if not request.owed or request.out is not None or attempt.until <= self.now:
+        if not request.owed or request.in_flight is not None or attempt.until <= self.now:
             # Guards the rule of one attempt at a time, whatever was decided.
             self._report(attempt, api.Outcome.MOOT)
             return
-        request.out = attempt
-        if action.engine in self._told_out:  # guards operators' word, whatever was decided
+        request.in_flight = attempt
+        if action.engine in self._disabled_engines:  # guards the manual overrides, whatever was decided
             self._end(attempt, api.Outcome.MOOT)
             return
         if action.engine not in self._places:  # another engine has its address now
@@ -52,8 +52,8 @@
 
     def _expire(self, txn: str, number: int) -> None:
         request = self._requests.get(txn)
-        if request is not None and request.out is not None and request.out.number == number:
-            self._give_up(request.out, api.Outcome.TIMEOUT)
+        if request is not None and request.in_flight is not None and request.in_flight.number == number:
+            self._give_up(request.in_flight, api.Outcome.TIMEOUT)
 
     def _give_up(self, attempt: Attempt, outcome: api.Outcome) -> None:
         """Stop an attempt; it counts as ended once the engine can have heard of it."""
@@ -64,58 +64,61 @@
         if not attempt.written:  # it never left, and now it never will
             self._end(attempt, outcome)
             return
-        request.spent.add(link.id)
+        request.abandoned_links.add(link.id)
         if link.paused and attempt in link.unsent:
             # Guards against a request that is sent after its attempt has ended: the rest of it is still here.
             self._drop(link)
             return
         txn = request.call.txn
         self._command(link, Stop(txn) if attempt.pages is None else End(txn))
-        if link.heard <= attempt.sent < self.now - self.limits.connect_timeout:
-            self._doubt(link)
+        if link.last_heard <= attempt.sent < self.now - self.limits.connect_timeout:
+            self._probe_link(link)
         self._detach(attempt)
         self._at(self.now + SETTLE, self._end, attempt, outcome)
 
-    def _doubt(self, link: Link) -> None:
+    def _probe_link(self, link: Link) -> None:
         """Nothing was heard since an attempt went out that was given up: the machine behind may be gone.
 
         The connection is asked. Ending it unasked cost a handshake for most queries that stood still: over
         all routers a new connection for every third query.
         """
-        if link.asked is None and not link.retired:
-            link.asked = self.now
+        if link.probed_at is None and not link.retired:
+            link.probed_at = self.now
             self._command(link, Hello(str(link.id)))
-            self._at(self.now + self.limits.connect_timeout, self._check_doubt, link)
+            self._at(self.now + self.limits.connect_timeout, self._check_probe, link)
 
-    def _check_doubt(self, link: Link) -> None:
-        if link.id in self._links and link.asked is not None and link.heard <= link.asked:
+    def _check_probe(self, link: Link) -> None:
+        if link.id in self._links and link.probed_at is not None and link.last_heard <= link.probed_at:
             link.retired = True  # what is still out there may be answered all the same
             if not link.attempts:
                 self._drop(link)
-        link.asked = None
+        link.probed_at = None
 
-    def _heard(self, link: Link, answer: EngineAnswer) -> None:
-        link.heard = self.now
+    def _on_engine_answer(self, link: Link, answer: EngineAnswer) -> None:
+        link.last_heard = self.now
         attempt = link.attempts.get(answer.txn)
         if attempt is None or not attempt.written:
             return  # the late answer of an attempt that was given up, or one that nobody asked for
         attempt.report = answer.report or attempt.report
-        match answer.word:
-            case Word.OK if attempt.pages is None:
+        match answer.kind:
+            case AnswerKind.OK if attempt.pages is None:
                 attempt.pages = [None] * answer.pages
                 self._add_page(attempt, 0, answer.body)
-                if answer.pages > 1 and attempt.request.out is attempt:
+                if answer.pages > 1 and attempt.request.in_flight is attempt:
                     self._command(link, *(Fetch(answer.txn, page) for page in range(1, answer.pages)))
-            case Word.PAGE if attempt.pages is not None and 1 <= answer.page < len(attempt.pages):
+            case AnswerKind.PAGE if attempt.pages is not None and 1 <= answer.page < len(attempt.pages):
                 self._add_page(attempt, answer.page, answer.body)
-            case Word.FULL if attempt.pages is None:
+            case AnswerKind.FULL if attempt.pages is None:
                 self._end(attempt, api.Outcome.FULL)
-            case Word.STALE if attempt.pages is None:
+            case AnswerKind.STALE if attempt.pages is None:
                 self._end(attempt, api.Outcome.MOOT)
-            case Word.SPOILT:  # nothing else on its connection can be trusted either
-                self._effects.append(Note(f"engine {link.engine}: an answer that cannot be right"))
+            case AnswerKind.INVALID:  # nothing else on its connection can be trusted either
+                self._effects.append(LogLine(f"engine {link.engine}: an answer that cannot be right"))
                 self._drop(link)
-            case Word.ALIVE | Word.OK:  # the latter a second copy: what it brings more harms nothing
+            case (
+                AnswerKind.ALIVE
+                | AnswerKind.OK
+            ):  # the latter a second copy: what it brings more harms nothing
                 pass
             case _:  # also a page that the engine lost: it ran, and a short answer would be wrong
                 self._end(attempt, api.Outcome.ERROR)
@@ -126,7 +129,7 @@
         attempt.size += added
         self._paged += added
         pages[number] = body
-        if attempt.size > MOST_RESULT:
+        if attempt.size > MAX_RESULT_BYTES:
             self._end(attempt, api.Outcome.ERROR)
         elif None not in pages:
             parts = tuple(page for page in pages if page is not None)
--- a/grebeproxy/net/router/base.py
+++ b/grebeproxy/net/router/base.py
@@ -1,4 +1,4 @@
-"""What all parts of the reducer share: its state, its timers and what it asks for."""
+"""What all parts of the reducer share: its state, its timers and its effects."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from grebeproxy.net import admission, follower
 from grebeproxy.net.events import Address, Effect, StartListening, StopListening, Wake
-from grebeproxy.net.hands import Hands
+from grebeproxy.net.manual_overrides import ManualOverrides
 from grebeproxy.net.messages import ToEngine
 from grebeproxy.net.router.records import Link, Place, Request
 from grebeproxy.policy import interface as api
@@ -28,7 +28,7 @@
 
 
 class Core:
-    """What all parts of the reducer share: its state, its timers and what it asks for."""
+    """What all parts of the reducer share: its state, its timers and its effects."""
 
     def __init__(
         self,
@@ -56,24 +56,26 @@
         self._numbers = count(1)
         self._commands: dict[int, list[ToEngine]] = {}
         self._to_flush: dict[int, Link] = {}  # connections that may have something to write
-        self._looked = False  # all that had come on sockets is told in this step
-        self._resting: set[int] = set()  # clients that were between requests before the latest look
+        self._sockets_read = False  # all that had come on sockets is read in this step
+        self._idle_clients: set[int] = (
+            set()
+        )  # clients that were between requests before the sockets were read last
         self._effects: list[Effect] = []
         self._wake_at: float | None = None
         self._log = follower.Follower(changelog, now)
         self._shared = shared  # clients come on a socket that another process hears as well
-        self._listening = self._stopping = self._ending = self._done = False
-        self._takes_until = float("inf")  # then what comes is refused: clients are to go elsewhere
-        self._drained: float | None = None  # since when operators want clients to go elsewhere
-        self._hands, self._told_out = Hands(), frozenset[str]()
-        self._doors: dict[int, float] = {}  # operators' connections, the oldest first
+        self._listening = self._stopping = self._exit_when_answered = self._done = False
+        self._accept_until = float("inf")  # then what comes is refused: clients are to go elsewhere
+        self._standby_since: float | None = None  # when operators asked for clients to go elsewhere
+        self._overrides, self._disabled_engines = ManualOverrides(), frozenset[str]()
+        self._admins: dict[int, float] = {}  # operators' connections, the oldest first
 
     def _at(self, at: float, call: Callable[..., None], *args: Any) -> None:
         heappush(self._timers, (at, next(self._numbers), call, args))
 
     def _ask_to_wake(self) -> None:
         at = self._timers[0][0] if self._timers else None
-        if self._resting or (self._ending and not self._done and self._all_answered()):
+        if self._idle_clients or (self._exit_when_answered and not self._done and self._all_answered()):
             at = self.now  # they end behind one more look at the sockets
         if self._pending:
             at = self._next_round if at is None else min(at, self._next_round)
@@ -84,9 +86,9 @@
     def _all_answered(self) -> bool:
         return not any(request.owed for request in self._requests.values())
 
-    def _leaving(self) -> bool:
+    def _draining(self) -> bool:
         """Clients are moved off: they find no readiness, and connections end between requests."""
-        return self._stopping or self._drained is not None
+        return self._stopping or self._standby_since is not None
 
     def _start_listening(self) -> None:
         """Take clients once the change log has been heard, or has had its time.
--- a/grebeproxy/net/router/clients.py
+++ b/grebeproxy/net/router/clients.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from grebeproxy.net import admission
-from grebeproxy.net.events import Answer, CloseClient, Note
+from grebeproxy.net.events import Answer, CloseClient, LogLine
 from grebeproxy.net.messages import Call, Failed, FromClient, GiveUp, Invalid, Ping, Pong, Refused, ToClient
 from grebeproxy.net.router.attempts import Attempts
 from grebeproxy.net.router.records import Request
@@ -25,14 +25,14 @@
         self._clients[conn] = admission.Client(conn, self.now)
         if not self._sweeping:
             self._sweeping = True
-            self._at(self.now + admission.SWEEP, self._sweep)
+            self._at(self.now + admission.SWEEP_INTERVAL, self._sweep)
 
     def _sweep(self) -> None:
         for conn in admission.too_silent(self._clients, self.now):
             self._hang_up(conn)
         self._sweeping = bool(self._clients)
         if self._sweeping:
-            self._at(self.now + admission.SWEEP, self._sweep)
+            self._at(self.now + admission.SWEEP_INTERVAL, self._sweep)
 
     def _hang_up(self, conn: int) -> None:
         self._effects.append(CloseClient(conn))
@@ -41,12 +41,12 @@
     def _fault(self, client: admission.Client[Request], answer: ToClient) -> None:
         """Guards the usual clients against one that goes on sending what cannot be used: it is closed on."""
         client.faults += 1
-        if client.faults < admission.MOST_FAULTS:
+        if client.faults < admission.MAX_FAULTS:
             self._effects.append(Answer(client.conn, answer))
         else:
             self._hang_up(client.conn)
 
-    def _take(self, client: admission.Client[Request], call: Call) -> None:
+    def _accept_request(self, client: admission.Client[Request], call: Call) -> None:
         turned_away = Refused(call.msg, self.settings.max_retry_after)
         if call.msg in client.requests:
             # Two answers under one id could not be told apart: nothing on this connection can be trusted.
@@ -56,10 +56,10 @@
             self._fault(client, Failed(call.msg, "txn"))
         elif call.cls not in self._deadlines:  # a class that has gone: its clients may not know yet
             self._effects.append(Answer(client.conn, turned_away))
-        elif len(client.requests) >= admission.OPEN_PER_CLIENT:
+        elif len(client.requests) >= admission.MAX_OPEN_REQUESTS:
             self._fault(client, turned_away)
         elif (
-            self.now >= self._takes_until
+            self.now >= self._accept_until
             or len(self._requests) >= self.limits.max_open
             or self._bodies + len(call.body) > self._bounds.bodies
         ):
@@ -96,28 +96,28 @@
         """The client waits no more: nothing is owed, and what runs for it is given up."""
         self._settle(request)
         self._pending.append(api.Gone(request.call.txn))
-        if request.out is not None:
-            self._give_up(request.out, api.Outcome.CANCELLED)
+        if request.in_flight is not None:
+            self._give_up(request.in_flight, api.Outcome.CANCELLED)
         self._forget(request)
 
     def _overdue(self, txn: str, due: float) -> None:
         """Guards the rule of one answer in time against a module that has given none."""
         request = self._requests.get(txn)
         if request is not None and request.due == due and request.owed:
-            self._effects.append(Note(f"request {txn}: no answer was decided in time"))
+            self._effects.append(LogLine(f"request {txn}: no answer was decided in time"))
             self._answer(request, Failed(request.call.msg))
             self._abandon(request)
 
     def _on_client(self, client: admission.Client[Request], message: FromClient) -> None:
-        client.asked, client.begun, client.quiet = True, None, self.now
+        client.has_asked, client.message_started_at, client.idle_since = True, None, self.now
         match message:
             case Call():
-                self._take(client, message)
+                self._accept_request(client, message)
             case GiveUp(msg):
                 # One that crossed the answer names nothing that is open, and is over already.
                 if msg in client.requests:
                     self._abandon(client.requests[msg])
             case Ping(msg):
-                self._effects.append(Answer(client.conn, Pong(msg, not self._leaving())))
+                self._effects.append(Answer(client.conn, Pong(msg, not self._draining())))
             case Invalid(msg, name):
                 self._fault(client, Failed(msg, name))
--- a/grebeproxy/net/router/discovery.py
+++ b/grebeproxy/net/router/discovery.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from grebeproxy.net import follower
-from grebeproxy.net.events import Address, Note
-from grebeproxy.net.messages import News
+from grebeproxy.net.events import Address, LogLine
+from grebeproxy.net.messages import ChangeLogUpdate
 from grebeproxy.net.router.clients import Clients
 from grebeproxy.net.router.records import Place
 from grebeproxy.policy import interface as api
@@ -30,33 +30,33 @@
             self._at(due, self._check_log, dials)
             return
         reason = "silent" if self._log.up else "no connection"
-        self._effects.append(Note(f"change log: {reason}; trying again after event {self._log.seq}"))
+        self._effects.append(LogLine(f"change log: {reason}; trying again after event {self._log.seq}"))
         follower.hung(self._log)
         self._dial_log(dials)
 
     def _lose_log(self, reason: str) -> None:
         if self._log.open:
-            self._effects.append(Note(f"change log: {reason}; trying again after event {self._log.seq}"))
+            self._effects.append(LogLine(f"change log: {reason}; trying again after event {self._log.seq}"))
             self._at(self.now + follower.lose(self._log), self._dial_log, self._log.dials)
 
-    def _read_log(self, news: News) -> None:
+    def _read_log(self, update: ChangeLogUpdate) -> None:
         if not self._log.open:
             return
         self._start_listening()
         try:
-            if follower.read(self._log, news, self.now):
-                self._apply(news)
+            if follower.read(self._log, update, self.now):
+                self._apply(update)
         except ValueError as error:
             self._lose_log(str(error))
 
     def _move_log(self, address: Address) -> None:
         if follower.move(self._log, address):
             host, port = address
-            self._effects.append(Note(f"change log: at {host}:{port} after event {self._log.seq}"))
+            self._effects.append(LogLine(f"change log: at {host}:{port} after event {self._log.seq}"))
             self._dial_log(self._log.dials)
 
-    def _apply(self, news: News) -> None:
-        change, addresses = news.change, news.addresses or {}
+    def _apply(self, update: ChangeLogUpdate) -> None:
+        change, addresses = update.change, update.addresses or {}
         if change is None:
             return
         if change.how is api.ListKind.FULL:
--- a/grebeproxy/net/router/links.py
+++ b/grebeproxy/net/router/links.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from grebeproxy.net.events import CloseLink, Note, OpenLink, Write
+from grebeproxy.net.events import CloseLink, LogLine, OpenLink, Write
 from grebeproxy.net.messages import Run, ToEngine
 from grebeproxy.net.router.answers import Answers
 from grebeproxy.net.router.records import Attempt, Link
@@ -17,13 +17,15 @@
 
     def _end(self, attempt: Attempt, outcome: api.Outcome, settled: bool = False) -> None:
         """An attempt is over: the module hears of it once, however it ended."""
-        if attempt.request.out is not attempt:
+        if attempt.request.in_flight is not attempt:
             return
         if attempt.link is not None and attempt.written and not settled:
-            attempt.request.spent.add(attempt.link.id)  # further pages, or the answer again, may still come
+            attempt.request.abandoned_links.add(
+                attempt.link.id
+            )  # further pages, or the answer again, may still come
         self._detach(attempt)
         self._paged -= attempt.size
-        attempt.request.out = None
+        attempt.request.in_flight = None
         self._report(attempt, outcome, settled)
         self._forget(attempt.request)
 
@@ -46,7 +48,7 @@
             link
             for link in self._engine_links.get(attempt.engine, ())
             if not link.retired
-            and link.id not in attempt.request.spent
+            and link.id not in attempt.request.abandoned_links
             and len(link.attempts) < self.limits.multiplex
         ]
         if links:
@@ -61,10 +63,10 @@
         self._at(self.now + IDLE_SHARE * self.limits.idle_timeout, self._check_idle, link)
         return link
 
-    def _check_begun(self, link: Link, since: float) -> None:
+    def _check_answer_whole(self, link: Link, since: float) -> None:
         """Guards against answers that stop short or do not end: nothing that is behind them can come."""
-        if link.begun == since and link.id in self._links:
-            self._effects.append(Note(f"engine {link.engine}: an answer that stopped short"))
+        if link.answer_started_at == since and link.id in self._links:
+            self._effects.append(LogLine(f"engine {link.engine}: an answer that stopped short"))
             self._drop(link)
 
     def _check_open(self, link: Link) -> None:
@@ -80,7 +82,7 @@
             return
         waiting = []
         for attempt in [attempt for attempt in link.attempts.values() if not attempt.written]:
-            if self.now < attempt.by:
+            if self.now < attempt.send_by:
                 waiting.append(attempt)
             else:  # a repeat that waited for its connection longer than it is harmless
                 self._end(attempt, api.Outcome.MOOT)
@@ -161,7 +163,7 @@
     def _retire(self, engine: str, drop: bool = False) -> None:
         for link in list(self._engine_links.get(engine, ())):
             link.retired = True
-            # Guards against a send after the drain was told: what is not written yet never will be.
+            # Guards against a send after the drain was announced: what is not written yet never will be.
             for attempt in [attempt for attempt in link.attempts.values() if not attempt.written]:
                 self._end(attempt, api.Outcome.MOOT)
             if drop or not link.attempts:
--- a/grebeproxy/net/router/records.py
+++ b/grebeproxy/net/router/records.py
@@ -17,11 +17,11 @@
     due: float
     owed: bool = True  # the client still waits for its answer
     attempts: int = 0
-    out: Attempt | None = None
+    in_flight: Attempt | None = None
     memory_mb: float | None = None
     # Links on which an earlier attempt was given up. Guards against taking its late answer, which has the
     # same id, for a later attempt's.
-    spent: set[int] = field(default_factory=set)
+    abandoned_links: set[int] = field(default_factory=set)
 
 
 @dataclass(slots=True, eq=False)
@@ -33,7 +33,7 @@
     engine: str
     sent: float
     until: float
-    by: float  # not to be written later: a repeat is harmless only for so long
+    send_by: float  # not to be written later: a repeat is harmless only for so long
     link: Link | None = None
     written: bool = False
     stopped: bool = False
@@ -49,12 +49,12 @@
     id: int
     engine: str
     opened: float
-    heard: float
+    last_heard: float
     idle_since: float
     up: bool = False
     paused: bool = False
-    begun: float | None = None  # since when an answer has begun and is not whole
-    asked: float | None = None  # since when it is asked whether it works
+    answer_started_at: float | None = None  # since when an answer has begun and is not whole
+    probed_at: float | None = None  # since when it is asked whether it works
     retired: bool = False  # takes no further attempts and ends with its last
     attempts: dict[str, Attempt] = field(default_factory=dict)
     unsent: list[Attempt] = field(default_factory=list)  # written last, and not sent whole while paused
--- a/grebeproxy/net/router/reducer.py
+++ b/grebeproxy/net/router/reducer.py
@@ -10,36 +10,36 @@
 from grebeproxy.net import admission, follower
 from grebeproxy.net.events import (
     Address,
-    AnswerDoor,
-    ClientBegun,
+    AnswerAdmin,
+    ClientMessageStarted,
     ClientClosed,
     ClientOpened,
-    ClientSaid,
-    DoorClosed,
-    DoorOpened,
-    DoorSaid,
+    ClientMessageReceived,
+    AdminClosed,
+    AdminOpened,
+    AdminCallReceived,
     Effect,
     Event,
     Exit,
-    HandsRead,
-    LinkBegun,
+    OverridesRead,
+    LinkAnswerStarted,
     LinkClosed,
     LinkEvent,
     LinkOpened,
     LinkPaused,
     LinkResumed,
-    LinkSaid,
-    LogClosed,
-    LogOpened,
-    LogSaid,
-    Note,
-    PartClient,
+    LinkAnswerReceived,
+    ChangeLogClosed,
+    ChangeLogOpened,
+    ChangeLogReceived,
+    LogLine,
+    HalfCloseClient,
     Reloaded,
-    StopAsked,
+    StopRequested,
     Woken,
     Write,
 )
-from grebeproxy.net.messages import Failed, News, Refused
+from grebeproxy.net.messages import Failed, ChangeLogUpdate, Refused
 from grebeproxy.net.router.base import on_sockets
 from grebeproxy.net.router.operating import Operating
 from grebeproxy.net.router.records import Link
@@ -47,7 +47,7 @@
 from grebeproxy.policy import interface as api
 from grebeproxy.settings import WireLimits
 
-STOPPED_SHORT = 0.3  # seconds from an answer's first byte after which it will not be whole any more
+PARTIAL_ANSWER_TIMEOUT = 0.3  # seconds from an answer's first byte after which it will not be whole any more
 
 
 class Module(Protocol):
@@ -72,26 +72,26 @@
         bounds: admission.Bounds,
         seed: int,
         now: float,
-        known: Iterable[News] = (),
+        known: Iterable[ChangeLogUpdate] = (),
         decide: Decide = Choice,
         shared: bool = False,
     ) -> None:
         super().__init__(settings, limits, changelog=changelog, bounds=bounds, now=now, shared=shared)
         self._choice = decide(self.settings, now, seed)
-        for news in known:
-            self._log.seq = news.seq
-            self._apply(news)
+        for update in known:
+            self._log.seq = update.seq
+            self._apply(update)
 
     def start(self, now: float) -> list[Effect]:
         """The first effects."""
         self.now, self._effects = now, []
         self._dial_log(self._log.dials)
-        self._at(now + follower.FIRST_NEWS, self._start_listening)
+        self._at(now + follower.FIRST_EVENT_TIMEOUT, self._start_listening)
         return self._finish()
 
     def step(self, now: float, events: Iterable[Event]) -> list[Effect]:
         """Take what happened, in order, and tell what is to be done."""
-        self.now, self._effects, self._looked = now, [], False
+        self.now, self._effects, self._sockets_read = now, [], False
         for event in events:
             self._on(event)
         while self._timers and self._timers[0][0] <= now:
@@ -104,13 +104,13 @@
             self._next_round = self.now + self.settings.tick
             events, self._pending = self._pending, []
             for action in self._decide(events):
-                self._act(action)
+                self._on_action(action)
         for waited_for in self._to_flush.values():
             self._flush(waited_for)
         self._to_flush.clear()
-        self._part()
-        if self._looked and self._ending and not self._done and self._all_answered():
-            self._done, self._takes_until = True, self.now
+        self._half_close_idle_clients()
+        if self._sockets_read and self._exit_when_answered and not self._done and self._all_answered():
+            self._done, self._accept_until = True, self.now
             self._effects.append(Exit())
         for link, commands in self._commands.items():
             self._effects.append(Write(link, tuple(commands)))
@@ -118,79 +118,88 @@
         self._ask_to_wake()
         return self._effects
 
-    def _part(self) -> None:
+    def _half_close_idle_clients(self) -> None:
         """End connections between requests, where clients are moved off.
 
         Guards what a client has sent and is not read yet: each is looked at once more before its end.
         """
-        resting = {client.conn for client in admission.to_part(self._clients)} if self._leaving() else set()
-        if self._looked:
-            for conn in sorted(resting & self._resting):
-                self._clients[conn].parted = self.now
-                self._effects.append(PartClient(conn))
-            resting -= self._resting
-        self._resting = resting
+        idle = (
+            {client.conn for client in admission.to_half_close(self._clients)} if self._draining() else set()
+        )
+        if self._sockets_read:
+            for conn in sorted(idle & self._idle_clients):
+                self._clients[conn].half_closed_at = self.now
+                self._effects.append(HalfCloseClient(conn))
+            idle -= self._idle_clients
+        self._idle_clients = idle
 
     def _decide(self, events: list[api.Event]) -> list[api.Action]:
         """Ask the module. Guards against a fault in it: the router goes on, and ``_overdue`` answers."""
         try:
             return self._choice.handle(self.now, events)
         except Exception:  # whatever it is, the requests that are open are still owed an answer
-            self._effects.append(Note(traceback.format_exc()))
+            self._effects.append(LogLine(traceback.format_exc()))
             return []
 
     def _on(self, event: Event) -> None:
         match event:
             case ClientOpened(conn):
                 self._admit(conn)
-            case ClientSaid(conn, message):
+            case ClientMessageReceived(conn, message):
                 # What came behind a message that made us close names no connection that is left.
-                if (client := self._clients.get(conn)) is not None and client.parted is None:
+                if (client := self._clients.get(conn)) is not None and client.half_closed_at is None:
                     self._on_client(client, message)
-            case ClientBegun(conn):
+            case ClientMessageStarted(conn):
                 client = self._clients.get(conn)
-                if client is not None and client.begun is None and client.parted is None:
-                    client.begun = self.now
+                if client is not None and client.message_started_at is None and client.half_closed_at is None:
+                    client.message_started_at = self.now
             case ClientClosed(conn):
                 self._leave(conn)
-            case LinkOpened() | LinkClosed() | LinkPaused() | LinkResumed() | LinkSaid() | LinkBegun():
+            case (
+                LinkOpened()
+                | LinkClosed()
+                | LinkPaused()
+                | LinkResumed()
+                | LinkAnswerReceived()
+                | LinkAnswerStarted()
+            ):
                 # One that crossed our closing names no connection that is left.
                 if (link := self._links.get(event.link)) is not None:
                     self._on_link(link, event)
-            case LogOpened(dial) if dial == self._log.dials:
+            case ChangeLogOpened(dial) if dial == self._log.dials:
                 follower.opened(self._log, self.now)
-            case LogSaid(news):
-                self._read_log(news)
-            case LogClosed(reason, dial) if dial == self._log.dials:
+            case ChangeLogReceived(update):
+                self._read_log(update)
+            case ChangeLogClosed(reason, dial) if dial == self._log.dials:
                 self._lose_log(reason)
-            case DoorOpened(conn):
-                self._open_door(conn)
-            case DoorSaid(conn, call):
-                if self._doors.pop(conn, None) is not None:
-                    done, text = self._on_call(call)
-                    self._effects.append(AnswerDoor(conn, done, text))
-            case DoorClosed(conn):
-                self._doors.pop(conn, None)
-            case HandsRead(calls):
-                self._merge_hands(calls)
+            case AdminOpened(conn):
+                self._on_admin_opened(conn)
+            case AdminCallReceived(conn, call):
+                if self._admins.pop(conn, None) is not None:
+                    done, text = self._on_admin_call(call)
+                    self._effects.append(AnswerAdmin(conn, done, text))
+            case AdminClosed(conn):
+                self._admins.pop(conn, None)
+            case OverridesRead(calls):
+                self._merge_overrides(calls)
             case Reloaded(address, settings, limits):
                 self._retune(on_sockets(settings), limits)
                 self._move_log(address)
-            case StopAsked():
+            case StopRequested():
                 if not self._stopping:
                     self._stop()
             case Woken():
-                self._wake_at, self._looked = None, True
+                self._wake_at, self._sockets_read = None, True
 
     def _on_link(self, link: Link, event: LinkEvent) -> None:
         match event:
-            case LinkSaid(_, answer):
-                link.begun = None
-                self._heard(link, answer)
-            case LinkBegun():
-                if link.begun is None:
-                    link.begun = self.now
-                    self._at(self.now + STOPPED_SHORT, self._check_begun, link, self.now)
+            case LinkAnswerReceived(_, answer):
+                link.answer_started_at = None
+                self._on_engine_answer(link, answer)
+            case LinkAnswerStarted():
+                if link.answer_started_at is None:
+                    link.answer_started_at = self.now
+                    self._at(self.now + PARTIAL_ANSWER_TIMEOUT, self._check_answer_whole, link, self.now)
             case LinkOpened():
                 link.up = True
                 self._to_flush[link.id] = link
@@ -202,7 +211,7 @@
                 link.paused = False
                 self._to_flush[link.id] = link
 
-    def _act(self, action: api.Action) -> None:
+    def _on_action(self, action: api.Action) -> None:
         match action:
             case api.Send():
                 self._send(action)
@@ -217,12 +226,12 @@
                     self._answer(request, Failed(request.call.msg))
             case api.Cancel():
                 request = self._requests.get(action.id)
-                if request and request.out and request.out.number == action.attempt:
-                    self._give_up(request.out, api.Outcome.CANCELLED)
+                if request and request.in_flight and request.in_flight.number == action.attempt:
+                    self._give_up(request.in_flight, api.Outcome.CANCELLED)
             case api.SetTimer():
                 self._at(self.now + action.delay, self._fire, action.name)
             case api.Log():
-                self._effects.append(Note(action.text))
+                self._effects.append(LogLine(action.text))
 
     def _fire(self, name: str) -> None:
         self._pending.append(api.TimerFired(name))
--- a/grebeproxy/net/runtime.py
+++ b/grebeproxy/net/runtime.py
@@ -13,7 +13,7 @@
 from typing import Protocol, cast
 
 from grebeproxy.config import Config, ConfigError
-from grebeproxy.net import admission, changelog, events, hands, router
+from grebeproxy.net import admission, changelog, events, manual_overrides, router
 from grebeproxy.net.connections import (
     AdminConnection,
     ChangeLogConnection,
@@ -23,9 +23,9 @@
 )
 from grebeproxy.net.dialer import Dialer
 from grebeproxy.net.effects import carry_out
-from grebeproxy.net.handsfile import HandsFile
+from grebeproxy.net.override_file import OverrideFile
 from grebeproxy.net.lingering import LingeringConnections
-from grebeproxy.net.listener import Listener, bound, inherited
+from grebeproxy.net.listener import Listener, adopt, bind
 from grebeproxy.net.log_limit import RateLimitedLog
 from grebeproxy.net.override_sync import OverrideSync
 from grebeproxy.net.timers import LoopTimers
@@ -52,7 +52,7 @@
         self.timers = timers or LoopTimers()
         shared = config.listen_fd is not None
         self.bounds = admission.bounds(
-            config.sockets, config.memory_mb, shared=shared, door=config.admin is not None
+            config.sockets, config.memory_mb, shared=shared, admin=config.admin is not None
         )
         self.clients = ClientConnections()
         self.links: dict[int, EngineConnection] = {}
@@ -84,7 +84,9 @@
     def _override_sync(self) -> OverrideSync | None:
         if not self.config.admin or not self.config.folder:
             return None
-        return OverrideSync(HandsFile(self.config.folder, self.config.name), self.timers, self.feed, self.log)
+        return OverrideSync(
+            OverrideFile(self.config.folder, self.config.name), self.timers, self.feed, self.log
+        )
 
     # --- the log
 
@@ -109,7 +111,7 @@
         self._listener = self._bind()
         if self.config.admin is not None:
             self._admin_listener = Listener(
-                bound(self.config.admin), self.new_admin_connection, self.report_shortage
+                bind(self.config.admin), self.new_admin_connection, self.report_shortage
             )
             self._admin_listener.open()
         carry_out(self, self._router.start(self.timers.now()))
@@ -132,7 +134,7 @@
 
     def _bind(self) -> Listener:
         descriptor = self.config.listen_fd
-        listening = bound(self.config.listen) if descriptor is None else inherited(descriptor)
+        listening = bind(self.config.listen) if descriptor is None else adopt(descriptor)
         return Listener(
             listening, self.new_client_connection, self.report_shortage, shared=descriptor is not None
         )
@@ -159,7 +161,7 @@
 
     def terminate(self) -> None:
         """Finish what was taken, then end."""
-        self.feed(events.StopAsked())
+        self.feed(events.StopRequested())
 
     def exit(self) -> None:
         """End the program."""
@@ -211,7 +213,7 @@
         self.links[number] = link = EngineConnection(self, number, self.links)
         self.dialer.dial(link, address)
 
-    def open_change_log(self, effect: events.OpenLog) -> None:
+    def open_change_log(self, effect: events.OpenChangeLog) -> None:
         """Connect to the change log, ending an earlier connection."""
         if self._change_log is not None:
             self._change_log.close()
@@ -219,7 +221,7 @@
         self._change_log = ChangeLogConnection(self, decoder, effect.seq, effect.dial)
         self.dialer.dial(self._change_log, effect.address)
 
-    def save_overrides(self, calls: hands.Calls) -> None:
+    def save_overrides(self, calls: manual_overrides.Calls) -> None:
         """Write the manual overrides for this router's other processes, where there may be some."""
         if self._overrides is not None:
             self._overrides.save(calls)
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -20,7 +20,7 @@
 
 from grebeproxy import Choice
 from grebeproxy.config import parse
-from grebeproxy.net import events, hands
+from grebeproxy.net import events, manual_overrides
 from grebeproxy.net.connections import ChangeLogConnection, Connection
 from grebeproxy.net.dialer import Dialer
 from grebeproxy.net.effects import carry_out
@@ -219,7 +219,7 @@
     def exit(self) -> None:
         self.out("program", "exits")
 
-    def save_overrides(self, calls: hands.Calls) -> None:
+    def save_overrides(self, calls: manual_overrides.Calls) -> None:
         self.out("file", f"written {orjson.dumps(calls, option=orjson.OPT_SORT_KEYS).decode()}")
 
     def out(self, who: str, what: str) -> None:
@@ -229,7 +229,7 @@
         """One input line."""
         if who == "file":  # another process has written it
             calls = {name: (int(number), bool(out)) for name, (number, out) in orjson.loads(data).items()}
-            self.feed(events.HandsRead(calls))
+            self.feed(events.OverridesRead(calls))
             return
         if who not in self.peers and who[0] in "cd":
             self.peers[who] = FakeTransport(
--- a/tests/test_told.py
+++ b/tests/test_change_log_delays.py
@@ -9,7 +9,7 @@
 
 from grebeproxy.config import parse
 from grebeproxy.net import admission, events, follower
-from grebeproxy.net.messages import Call, News, Run
+from grebeproxy.net.messages import Call, ChangeLogUpdate, Run
 from grebeproxy.net.router import Router
 from grebeproxy.policy import interface as api
 
@@ -23,15 +23,15 @@
     def __init__(self, way: float) -> None:
         config = parse(with_changes({}))
         known = [
-            News(
+            ChangeLogUpdate(
                 1,
                 api.EngineList(api.ListKind.FULL, (api.Engine("s-00000001", "typ-a", "room-1"),), 1),
                 ADDRESS,
             )
         ]
         self.now, self.way, self.number, self.runs = 0.0, way, 0, 0
-        self.log: list[News] = []
-        self.answers: list[tuple[float, list[News]]] = []  # what is on its way to the router
+        self.log: list[ChangeLogUpdate] = []
+        self.answers: list[tuple[float, list[ChangeLogUpdate]]] = []  # what is on its way to the router
         self.broken_until, self.dials = 0.0, 0
         self.hanging = 0  # dials to come that never come up
         self.router = Router(
@@ -48,15 +48,15 @@
     def carry_out(self, effects: list[events.Effect]) -> None:
         for effect in effects:
             match effect:
-                case events.OpenLog(_, seq, dial):
+                case events.OpenChangeLog(_, seq, dial):
                     self.dials = dial
                     if self.now < self.broken_until:
                         continue
                     if self.hanging:
                         self.hanging -= 1
                         continue
-                    self.carry_out(self.router.step(self.now, [events.LogOpened(dial)]))
-                    newer = [News(seq)] + [news for news in self.log if news.seq > seq]
+                    self.carry_out(self.router.step(self.now, [events.ChangeLogOpened(dial)]))
+                    newer = [ChangeLogUpdate(seq)] + [news for news in self.log if news.seq > seq]
                     self.answers.append((self.now + self.way, newer))
                 case events.OpenLink(link, _):
                     self.carry_out(self.router.step(self.now, [events.LinkOpened(link)]))
@@ -69,15 +69,15 @@
             self.now += 0.01
             told: list[events.Event] = [events.Woken()]
             for at, newer in [answer for answer in self.answers if answer[0] <= self.now]:
-                told += [events.LogSaid(news) for news in newer]
+                told += [events.ChangeLogReceived(news) for news in newer]
                 self.answers.remove((at, newer))
             if frames and round(self.now * 100) % 100 == 0:
-                told.append(events.LogSaid(News(self.log[-1].seq if self.log else 1)))
+                told.append(events.ChangeLogReceived(ChangeLogUpdate(self.log[-1].seq if self.log else 1)))
             if round(self.now * 100) % 2 == 0:
                 self.number += 1
                 told += [
                     events.ClientOpened(self.number),
-                    events.ClientSaid(
+                    events.ClientMessageReceived(
                         self.number,
                         Call(self.number, f"{self.number:016x}", "lookup", 0.4, b"", tenant="city"),
                     ),
@@ -87,7 +87,7 @@
     def drains(self) -> None:
         """The log writes that the engine drains; the connection may or may not tell."""
         draining = api.Engine("s-00000001", "typ-a", "room-1", state=api.EngineState.DRAINING)
-        self.log.append(News(2, api.EngineList(api.ListKind.CHANGES, (draining,), 2), ADDRESS))
+        self.log.append(ChangeLogUpdate(2, api.EngineList(api.ListKind.CHANGES, (draining,), 2), ADDRESS))
 
     def obeys(self) -> bool:
         """Nothing new goes there once the grace is over."""
@@ -119,7 +119,7 @@
     fleet = Fleet(way=0.05)
     fleet.run(2.0, frames=True)
     dials, fleet.hanging, patience = [], 5, []
-    fleet.carry_out(fleet.router.step(fleet.now, [events.LogClosed("reset", fleet.dials)]))
+    fleet.carry_out(fleet.router.step(fleet.now, [events.ChangeLogClosed("reset", fleet.dials)]))
     for _ in range(800):
         before = fleet.dials
         fleet.run(fleet.now + 0.01, frames=False)
@@ -131,11 +131,11 @@
 def test_what_an_ended_connection_still_tells_says_nothing_of_the_next() -> None:
     fleet = Fleet(way=0.05)
     fleet.run(3.0, frames=True)
-    fleet.carry_out(fleet.router.step(fleet.now, [events.LogClosed("reset", fleet.dials)]))
+    fleet.carry_out(fleet.router.step(fleet.now, [events.ChangeLogClosed("reset", fleet.dials)]))
     fleet.run(3.2, frames=True)
     before = fleet.dials
     assert before == 2
-    late: list[events.Event] = [events.LogOpened(1), events.LogClosed("reset", 1)]
+    late: list[events.Event] = [events.ChangeLogOpened(1), events.ChangeLogClosed("reset", 1)]
     fleet.carry_out(fleet.router.step(fleet.now, late))
     fleet.run(4.0, frames=True)
     assert fleet.dials == before
@@ -147,24 +147,26 @@
     fleet.run(3.0, frames=True)
     fleet.drains()
     written, fleet.broken_until = fleet.now, fleet.now + broken  # connections are refused at first
-    fleet.carry_out(fleet.router.step(fleet.now, [events.LogClosed("reset", fleet.dials)]))
+    fleet.carry_out(fleet.router.step(fleet.now, [events.ChangeLogClosed("reset", fleet.dials)]))
     while fleet.now < written + GRACE - 0.02:
         fleet.run(fleet.now + 0.03, frames=False)
         if fleet.now < fleet.broken_until:
-            fleet.carry_out(fleet.router.step(fleet.now, [events.LogClosed("refused", fleet.dials)]))
+            fleet.carry_out(fleet.router.step(fleet.now, [events.ChangeLogClosed("refused", fleet.dials)]))
     fleet.runs = 0
     fleet.run(fleet.now + 1.0, frames=False)
     assert not fleet.runs
 
 
 def test_a_start_takes_nobody_before_it_has_heard_what_was_written_meanwhile() -> None:
-    fleet = Fleet(way=follower.FIRST_NEWS / 2)
+    fleet = Fleet(way=follower.FIRST_EVENT_TIMEOUT / 2)
     fleet.drains()  # after the configuration was made, before the router asked
-    fleet.answers = [(at, [News(1), *fleet.log]) for at, _ in fleet.answers]
+    fleet.answers = [(at, [ChangeLogUpdate(1), *fleet.log]) for at, _ in fleet.answers]
     listening = [fleet.router.step(0.01, [])]
     for step in range(2, 20):
         fleet.now = step / 100
-        heard = [events.LogSaid(news) for at, newer in fleet.answers if at <= fleet.now for news in newer]
+        heard = [
+            events.ChangeLogReceived(news) for at, newer in fleet.answers if at <= fleet.now for news in newer
+        ]
         fleet.answers = [answer for answer in fleet.answers if answer[0] > fleet.now]
         listening.append(fleet.router.step(fleet.now, heard))
         if events.StartListening() in listening[-1]:
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from grebeproxy.net import messages as say
+from grebeproxy.net import messages
 from grebeproxy.net import msgpack_rpc, resp
 from grebeproxy.policy.interface import Tenant
 
@@ -32,14 +32,14 @@
 
 def read(decoder: Any, parts: Iterable[bytes]) -> tuple[list[Any], str | None]:
     """What a decoder makes of the parts, and why it read no further."""
-    messages: list[Any] = []
+    decoded: list[Any] = []
     try:
         for part in parts:
-            messages += decoder.feed(part)
+            decoded += decoder.feed(part)
             assert decoder.partial <= MOST_HELD
-    except say.BadFrameError as error:
-        return messages, str(error)
-    return messages, None
+    except messages.BadFrameError as error:
+        return decoded, str(error)
+    return decoded, None
 
 
 TXN = st.integers(0, 2**64 - 1).map("{:016x}".format)
@@ -93,7 +93,7 @@
     calls, trouble = read(client(), [data])
     assert trouble is None
     for call, (number, cls, fields, body) in zip(calls, requests, strict=True):
-        assert isinstance(call, say.Call)
+        assert isinstance(call, messages.Call)
         assert (call.msg, call.cls, call.txn, call.body) == (number, cls, fields["txn"], body)
         assert call.limit == int(fields["limit"]) / 1000 and call.resent is ("second" in fields)
         assert (call.token, call.key) == (fields.get("unique"), fields.get("item"))
@@ -108,7 +108,7 @@
     read_, trouble = read(engine(), [data])
     assert trouble is None
     for got, (txn, word, fields, body) in zip(read_, answers, strict=True):
-        assert (got.txn, got.word, got.body) == (txn, resp.WORDS[word.encode()], body)
+        assert (got.txn, got.kind, got.body) == (txn, resp.ANSWER_KINDS[word.encode()], body)
         assert got.pages == (2 if "count=2" in fields else 1) and got.page == (3 if "pos=3" in fields else 0)
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,12 +10,12 @@
 
 from grebeproxy.config import parse
 from grebeproxy.net import admission, events
-from grebeproxy.net import messages as say
+from grebeproxy.net import messages
 from grebeproxy.net.router import Router
 from grebeproxy.policy import interface as api
 
 ENGINE, ADDRESS = "s-00000001", {"s-00000001": ("127.0.0.1", 9001)}
-CALL = say.Call(1, "a" * 16, "lookup", 2.0, b"x", tenant="city")
+CALL = messages.Call(1, "a" * 16, "lookup", 2.0, b"x", tenant="city")
 
 
 class Scripted:
@@ -46,16 +46,16 @@
         known=[listed(api.EngineState.UP)],
     )
     router.start(0.0)
-    router.step(0.0, [events.LogOpened(1)])
-    told = router.step(0.3, [events.ClientOpened(1), events.ClientSaid(1, CALL)])
+    router.step(0.0, [events.ChangeLogOpened(1)])
+    told = router.step(0.3, [events.ClientOpened(1), events.ClientMessageReceived(1, CALL)])
     assert any(isinstance(effect, events.OpenLink) for effect in told)
     return router
 
 
-def listed(state: api.EngineState, seq: int = 1) -> say.News:
+def listed(state: api.EngineState, seq: int = 1) -> messages.ChangeLogUpdate:
     how = api.ListKind.FULL if seq == 1 else api.ListKind.CHANGES
     entry = api.Engine(ENGINE, "typ-a", "room-1", state=state)
-    return say.News(seq, api.EngineList(how, (entry,), seq), ADDRESS)
+    return messages.ChangeLogUpdate(seq, api.EngineList(how, (entry,), seq), ADDRESS)
 
 
 def link(router: Router) -> int:
@@ -63,13 +63,13 @@
     return number
 
 
-def runs(effects: Sequence[events.Effect]) -> list[say.Run]:
+def runs(effects: Sequence[events.Effect]) -> list[messages.Run]:
     return [
         command
         for effect in effects
         if isinstance(effect, events.Write)
         for command in effect.commands
-        if isinstance(command, say.Run)
+        if isinstance(command, messages.Run)
     ]
 
 
@@ -82,10 +82,10 @@
     "crossing",
     [
         events.ClientClosed(1),
-        events.ClientSaid(1, say.GiveUp(1)),
-        events.HandsRead({ENGINE: (1, True)}),
-        events.LogSaid(listed(api.EngineState.DRAINING, 2)),
-        events.LogSaid(listed(api.EngineState.GONE, 2)),
+        events.ClientMessageReceived(1, messages.GiveUp(1)),
+        events.OverridesRead({ENGINE: (1, True)}),
+        events.ChangeLogReceived(listed(api.EngineState.DRAINING, 2)),
+        events.ChangeLogReceived(listed(api.EngineState.GONE, 2)),
     ],
     ids=["closed", "given up", "out by hand", "drains", "gone"],
 )
@@ -113,26 +113,48 @@
 def test_a_client_between_requests_is_looked_at_once_more_before_its_connection_ends() -> None:
     router = asked()
     router.step(0.31, [events.LinkOpened(link(router))])
-    router.step(0.32, [events.StopAsked()])
-    served = events.LinkSaid(link(router), say.EngineAnswer(CALL.txn, say.Word.OK, b""))
-    assert not any(isinstance(effect, events.PartClient) for effect in router.step(0.33, [served]))
+    router.step(0.32, [events.StopRequested()])
+    served = events.LinkAnswerReceived(
+        link(router), messages.EngineAnswer(CALL.txn, messages.AnswerKind.OK, b"")
+    )
+    assert not any(isinstance(effect, events.HalfCloseClient) for effect in router.step(0.33, [served]))
     more = replace(CALL, msg=2, txn="b" * 16)
-    told = router.step(0.34, [events.ClientSaid(1, more), events.Woken()])
-    assert not any(isinstance(effect, events.PartClient) for effect in told)
+    told = router.step(0.34, [events.ClientMessageReceived(1, more), events.Woken()])
+    assert not any(isinstance(effect, events.HalfCloseClient) for effect in told)
     assert len(runs(told)) == 1
-    router.step(0.35, [events.LinkSaid(link(router), say.EngineAnswer(more.txn, say.Word.OK, b""))])
-    assert events.PartClient(1) in router.step(0.36, [events.Woken()])
+    router.step(
+        0.35,
+        [
+            events.LinkAnswerReceived(
+                link(router), messages.EngineAnswer(more.txn, messages.AnswerKind.OK, b"")
+            )
+        ],
+    )
+    assert events.HalfCloseClient(1) in router.step(0.36, [events.Woken()])
 
 
 def test_the_program_ends_only_behind_a_look_at_what_has_come() -> None:
     router = asked()
-    router.step(0.31, [events.LinkOpened(link(router)), events.StopAsked()])
+    router.step(0.31, [events.LinkOpened(link(router)), events.StopRequested()])
     for at in (0.9, 1.2):
         router.step(at, [events.Woken()])
-    served = events.LinkSaid(link(router), say.EngineAnswer(CALL.txn, say.Word.OK, b""))
+    served = events.LinkAnswerReceived(
+        link(router), messages.EngineAnswer(CALL.txn, messages.AnswerKind.OK, b"")
+    )
     assert events.Exit() not in router.step(1.3, [served])
     late = replace(CALL, msg=1, txn="c" * 16)  # was there when the last answer was given
-    crossing: list[events.Event] = [events.ClientOpened(2), events.ClientSaid(2, late), events.Woken()]
+    crossing: list[events.Event] = [
+        events.ClientOpened(2),
+        events.ClientMessageReceived(2, late),
+        events.Woken(),
+    ]
     assert events.Exit() not in router.step(1.31, crossing)
-    router.step(1.32, [events.LinkSaid(link(router), say.EngineAnswer(late.txn, say.Word.OK, b""))])
+    router.step(
+        1.32,
+        [
+            events.LinkAnswerReceived(
+                link(router), messages.EngineAnswer(late.txn, messages.AnswerKind.OK, b"")
+            )
+        ],
+    )
     assert events.Exit() in router.step(1.33, [events.Woken()])
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -15,7 +15,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from grebeproxy.net import admission, events
-from grebeproxy.net import messages as say
+from grebeproxy.net import messages
 from grebeproxy.net.router import Router
 from grebeproxy.policy import interface as api
 from grebeproxy.settings import WireLimits
@@ -44,7 +44,7 @@
         self.out_by_hand: set[str] = set()
         self.listed = dict.fromkeys(ENGINES, api.EngineState.UP)
         self.clients: dict[int, dict[int, str]] = {}  # open requests, by connection that is not ended
-        self.calls: dict[str, say.Call] = {}
+        self.calls: dict[str, messages.Call] = {}
         self.links: dict[int, str] = {}
         self.up: set[int] = set()
         self.out: dict[str, int] = {}  # link by request
@@ -59,7 +59,7 @@
         self.door: list[bool] = []
         self.settings = settings
         engines = tuple(api.Engine(engine, "medium", cell=n) for n, engine in enumerate(ENGINES))
-        known = say.News(1, api.EngineList(api.ListKind.FULL, engines, 1), self.addresses())
+        known = messages.ChangeLogUpdate(1, api.EngineList(api.ListKind.FULL, engines, 1), self.addresses())
         self.router = Router(
             settings,
             LIMITS,
@@ -71,7 +71,7 @@
         )
         self.seq = 1
         self.carry_out(self.router.start(90.0))
-        self.do(events.LogSaid(say.News(1)))
+        self.do(events.ChangeLogReceived(messages.ChangeLogUpdate(1)))
 
     def addresses(self) -> dict[str, tuple[str, int]]:
         return {engine: ("127.0.0.1", 9000 + n) for n, engine in enumerate(ENGINES)}
@@ -92,26 +92,26 @@
                     self.lost(link)
                 case events.Answer(conn, message):
                     self.answered(conn, message)
-                case events.CloseClient(conn) | events.PartClient(conn):
+                case events.CloseClient(conn) | events.HalfCloseClient(conn):
                     # One that was told of the end and does not close is closed on a little later.
                     assert not self.clients.pop(conn, {}), "closed on with a request open"
-                case events.AnswerDoor(_, done):
+                case events.AnswerAdmin(_, done):
                     self.door.append(done)
                 case events.Wake(at):
                     self.wake = at
                 case events.Exit():
                     assert not any(self.clients.values())
                     self.exited = True
-                case events.Note(text):
+                case events.LogLine(text):
                     assert "Traceback" not in text and "no answer was decided" not in text
 
     def may_serve(self, engine: str) -> bool:
         return engine not in self.out_by_hand and self.listed[engine] is api.EngineState.UP
 
-    def written(self, link: int, command: say.ToEngine) -> None:
+    def written(self, link: int, command: messages.ToEngine) -> None:
         engine = self.links[link]
         match command:
-            case say.Run(txn):
+            case messages.Run(txn):
                 assert self.may_serve(engine), f"sent to {engine}"
                 assert txn not in self.out, "two attempts at once"
                 assert self.now <= self.left.get(txn, self.now) + 0.1, "sent on for a client that has gone"
@@ -130,9 +130,9 @@
                     if txn not in sent:
                         sent.append(txn)
                 self.out[txn], self.sent[txn] = link, self.now
-            case say.Stop(txn) | say.End(txn):
+            case messages.Stop(txn) | messages.End(txn):
                 self.out.pop(txn, None)
-            case say.Hello():
+            case messages.Hello():
                 assert self.may_serve(engine), f"{engine} was asked"
 
     def lost(self, link: int) -> None:
@@ -140,13 +140,13 @@
         self.up.discard(link)
         self.out = {txn: at for txn, at in self.out.items() if at != link}
 
-    def answered(self, conn: int, message: say.ToClient) -> None:
-        if isinstance(message, say.Pong):
+    def answered(self, conn: int, message: messages.ToClient) -> None:
+        if isinstance(message, messages.Pong):
             assert message.serves is (self.serves and not self.stopped)
             return
         assert message.msg in self.clients[conn], "an answer that nobody is owed"
         txn = self.clients[conn].pop(message.msg)
-        if isinstance(message, say.Served):
+        if isinstance(message, messages.Served):
             self.out.pop(txn, None)
 
     # --- what happens
@@ -160,7 +160,7 @@
         while self.now < until:
             self.now = min(until, self.now + 1.0, max(self.now, self.wake))
             self.wake = float("inf")
-            self.do(events.Woken(), events.LogSaid(say.News(self.seq)))
+            self.do(events.Woken(), events.ChangeLogReceived(messages.ChangeLogUpdate(self.seq)))
 
     @rule(
         conn=st.integers(1, 3),
@@ -177,7 +177,7 @@
         self.number += 1
         txn = f"{self.number:016x}"
         kept = key if cls == "load" else None
-        call = say.Call(self.number, txn, cls, 2.0, b"x", token=txn, key=kept, work=0.1)
+        call = messages.Call(self.number, txn, cls, 2.0, b"x", token=txn, key=kept, work=0.1)
         for known in self.settings.classes:
             if known.name == cls:
                 self.kept[txn] = known
@@ -185,7 +185,7 @@
         self.calls[txn] = call
         if kept is not None:
             self.taken.setdefault(kept, []).append(txn)
-        self.do(events.ClientSaid(conn, call))
+        self.do(events.ClientMessageReceived(conn, call))
         if quick:  # it is on its way at once, where there is an engine for it
             self.time_passes(0.006)
             self.all_up()
@@ -198,7 +198,7 @@
     @rule(conn=st.integers(1, 3))
     def front_asks(self, conn: int) -> None:
         if conn in self.clients:
-            self.do(events.ClientSaid(conn, say.Ping(0)))
+            self.do(events.ClientMessageReceived(conn, messages.Ping(0)))
 
     @rule(data=st.data())
     def connected(self, data: st.DataObject) -> None:
@@ -220,7 +220,7 @@
         if self.clients.get(conn):
             number = data.draw(st.sampled_from(sorted(self.clients[conn])))
             self.left[self.clients[conn].pop(number)] = self.now
-            back = events.ClientSaid(conn, say.GiveUp(number))
+            back = events.ClientMessageReceived(conn, messages.GiveUp(number))
             self.do(*(self.coming_up(data) if crossing else []), back)
 
     def coming_up(self, data: st.DataObject) -> list[events.Event]:
@@ -233,17 +233,27 @@
     @rule(
         data=st.data(),
         word=st.sampled_from(
-            [say.Word.OK, say.Word.OK, say.Word.ERROR, say.Word.ERROR, say.Word.FULL, say.Word.STALE]
+            [
+                messages.AnswerKind.OK,
+                messages.AnswerKind.OK,
+                messages.AnswerKind.ERROR,
+                messages.AnswerKind.ERROR,
+                messages.AnswerKind.FULL,
+                messages.AnswerKind.STALE,
+            ]
         ),
         quick=st.sampled_from([True, True, False]),
     )
-    def engine_answers(self, data: st.DataObject, word: say.Word, quick: bool) -> None:
+    def engine_answers(self, data: st.DataObject, word: messages.AnswerKind, quick: bool) -> None:
         if self.out:
             txn = data.draw(st.sampled_from(sorted(self.out)))
             link = self.out.pop(txn)
-            if word in (say.Word.FULL, say.Word.STALE) and self.began[txn][0] == self.sent[txn]:
+            if (
+                word in (messages.AnswerKind.FULL, messages.AnswerKind.STALE)
+                and self.began[txn][0] == self.sent[txn]
+            ):
                 del self.began[txn]  # the only attempt that might have run did not
-            self.do(events.LinkSaid(link, say.EngineAnswer(txn, word, b"row\n")))
+            self.do(events.LinkAnswerReceived(link, messages.EngineAnswer(txn, word, b"row\n")))
             if quick:  # another attempt leaves at once
                 self.time_passes(0.006)
                 self.all_up()
@@ -265,12 +275,12 @@
         gone = engine != "nobody" and self.listed[engine] is api.EngineState.GONE
         if engine != "nobody" and not (out and gone and not upgrade):  # nobody has one that has gone
             (self.out_by_hand.add if out else self.out_by_hand.discard)(engine)
-        told: say.DoorCall = say.TakeOut(engine) if out else say.TakeBack(engine)
+        told: messages.AdminCall = messages.MaintenanceOn(engine) if out else messages.MaintenanceOff(engine)
         if upgrade and engine != "nobody":  # the call came to the other process
-            number = 1 + max((number for number, _ in self.router._hands.calls.values()), default=0)
-            self.do(events.HandsRead({engine: (number, out)}))
+            number = 1 + max((number for number, _ in self.router._overrides.calls.values()), default=0)
+            self.do(events.OverridesRead({engine: (number, out)}))
         else:
-            self.do(events.DoorOpened(1), events.DoorSaid(1, told))
+            self.do(events.AdminOpened(1), events.AdminCallReceived(1, told))
             if engine == "nobody" or not gone:
                 assert self.door == [engine != "nobody"]
 
@@ -290,7 +300,11 @@
         )
         how = api.ListKind.FULL if whole else api.ListKind.CHANGES
         addresses = {name: self.addresses()[name] for name in named}
-        self.do(events.LogSaid(say.News(self.seq, api.EngineList(how, entries, self.seq), addresses)))
+        self.do(
+            events.ChangeLogReceived(
+                messages.ChangeLogUpdate(self.seq, api.EngineList(how, entries, self.seq), addresses)
+            )
+        )
 
     @rule(settings=st.sampled_from(VARIANTS))
     def reload(self, settings: api.Settings) -> None:
@@ -301,13 +315,16 @@
     def drain(self, away: bool) -> None:
         if not self.stopped:
             self.serves = not away
-        self.do(events.DoorOpened(2), events.DoorSaid(2, say.Standby() if away else say.Active()))
+        self.do(
+            events.AdminOpened(2),
+            events.AdminCallReceived(2, messages.Standby() if away else messages.Active()),
+        )
 
     @rule()
     def stop(self) -> None:
         if self.number > 12:
             self.stopped = True
-            self.do(events.StopAsked())
+            self.do(events.StopRequested())
 
     # --- what always holds
 
@@ -352,17 +369,19 @@
         shared=shared,
     )
     router.start(0.0)
-    asked = say.Call(1, "a" * 16, "load", 20.0, b"x", token="t")
+    asked = messages.Call(1, "a" * 16, "load", 20.0, b"x", token="t")
     harmless = replace(asked, msg=2, txn="c" * 16, cls="short")
-    router.step(0.3, [events.ClientOpened(1), events.ClientSaid(1, asked)])
-    assert (events.StopListening() in router.step(0.4, [events.StopAsked()])) is shared
-    router.step(0.4 + forced - 0.5, [events.ClientSaid(1, harmless)])
-    late = router.step(0.4 + forced - 0.3, [events.ClientSaid(1, replace(asked, msg=3, txn="b" * 16))])
-    assert events.Answer(1, say.Refused(3, 1.0)) in late
-    assert events.Answer(1, say.Failed(1)) not in late
+    router.step(0.3, [events.ClientOpened(1), events.ClientMessageReceived(1, asked)])
+    assert (events.StopListening() in router.step(0.4, [events.StopRequested()])) is shared
+    router.step(0.4 + forced - 0.5, [events.ClientMessageReceived(1, harmless)])
+    late = router.step(
+        0.4 + forced - 0.3, [events.ClientMessageReceived(1, replace(asked, msg=3, txn="b" * 16))]
+    )
+    assert events.Answer(1, messages.Refused(3, 1.0)) in late
+    assert events.Answer(1, messages.Failed(1)) not in late
     ended = router.step(0.4 + forced - 0.1, [events.Woken()])
     answers = [effect for effect in ended if isinstance(effect, events.Answer)]
     # What may be repeated is refused, so that its client may ask elsewhere.
-    assert answers == [events.Answer(1, say.Failed(1)), events.Answer(1, say.Refused(2, 1.0))]
+    assert answers == [events.Answer(1, messages.Failed(1)), events.Answer(1, messages.Refused(2, 1.0))]
     looked = router.step(0.4 + forced - 0.1, [events.Woken()])  # at what has come meanwhile, in the same turn
-    assert events.PartClient(1) in looked and (ended + looked).count(events.Exit()) == 1
+    assert events.HalfCloseClient(1) in looked and (ended + looked).count(events.Exit()) == 1
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -10,12 +10,12 @@
 
 from grebeproxy.config import parse
 from grebeproxy.net import admission, events, follower
-from grebeproxy.net.messages import News
+from grebeproxy.net.messages import ChangeLogUpdate
 from grebeproxy.net.router import Router
 from grebeproxy.net.runtime import Runtime
 from grebeproxy.policy import interface as api
 
-LISTEN, HEARD = events.StartListening(), events.LogSaid(News(1, None))
+LISTEN, HEARD = events.StartListening(), events.ChangeLogReceived(ChangeLogUpdate(1, None))
 
 
 def started() -> Router:
@@ -35,26 +35,30 @@
 def test_clients_come_once_the_change_log_was_heard_and_only_once() -> None:
     router = started()
     assert LISTEN in router.step(0.01, [HEARD])
-    assert LISTEN not in router.step(0.02, [HEARD]) + router.step(follower.FIRST_NEWS, [events.Woken()])
+    assert LISTEN not in router.step(0.02, [HEARD]) + router.step(
+        follower.FIRST_EVENT_TIMEOUT, [events.Woken()]
+    )
 
 
-@pytest.mark.parametrize("told", [[], [events.LogClosed("refused", 1)]])
+@pytest.mark.parametrize("told", [[], [events.ChangeLogClosed("refused", 1)]])
 def test_a_silent_log_keeps_clients_out_for_its_time_only(told: list[events.Event]) -> None:
     router = started()
-    assert LISTEN not in router.step(follower.FIRST_NEWS - 0.01, told)
-    assert LISTEN in router.step(follower.FIRST_NEWS, [events.Woken()])
+    assert LISTEN not in router.step(follower.FIRST_EVENT_TIMEOUT - 0.01, told)
+    assert LISTEN in router.step(follower.FIRST_EVENT_TIMEOUT, [events.Woken()])
 
 
 def test_a_start_that_is_stopped_before_takes_no_clients() -> None:
     router = started()
-    router.step(0.01, [events.StopAsked()])
+    router.step(0.01, [events.StopRequested()])
     assert LISTEN not in router.step(1.0, [HEARD])
 
 
 def test_the_list_that_the_log_told_is_known_to_the_first_client() -> None:
     router = started()
     change = api.EngineList(api.ListKind.CHANGES, (api.Engine("s-0000000a", "typ-a", "lodz-1"),))
-    assert LISTEN in router.step(0.01, [events.LogSaid(News(1, change, {"s-0000000a": ("127.0.0.1", 9000)}))])
+    assert LISTEN in router.step(
+        0.01, [events.ChangeLogReceived(ChangeLogUpdate(1, change, {"s-0000000a": ("127.0.0.1", 9000)}))]
+    )
     assert "s-0000000a" in router._places
 
 
