--- a/grebeproxy/membership/__init__.py
+++ b/grebeproxy/membership/__init__.py
@@ -1,37 +1,40 @@
 """Who is there, who has failed, and what each may do while they disagree. I/O-free."""
 
 from grebeproxy.membership.model import (
-    Changed,
     Condition,
     Config,
     Displaced,
     Effect,
     Event,
-    Heard,
-    LeaveAsked,
+    LeaveRequested,
     Message,
-    Say,
-    Told,
+    MessageReceived,
+    Notice,
+    Send,
     View,
+    ViewChanged,
     Wake,
     Woken,
 )
 from grebeproxy.membership.swim import Membership
 
+Say = Send  # the former name, which benchmarks/members.py still imports
+
 __all__ = [
-    "Changed",
     "Condition",
     "Config",
     "Displaced",
     "Effect",
     "Event",
-    "Heard",
-    "LeaveAsked",
+    "LeaveRequested",
     "Membership",
     "Message",
+    "MessageReceived",
+    "Notice",
     "Say",
-    "Told",
+    "Send",
     "View",
+    "ViewChanged",
     "Wake",
     "Woken",
 ]
--- a/grebeproxy/membership/rumours.py
+++ b/grebeproxy/membership/gossip_queue.py
@@ -1,4 +1,4 @@
-"""What is still to be passed on, and how often each part of it was."""
+"""The facts that are still to be gossiped, and how often each of them was."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 SPREAD = 4  # times the logarithm of the members that a fact is passed on
 
 
-class Rumours:
+class GossipQueue:
     """Facts that are passed on with other messages, those passed on least first."""
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         return len(self._facts)
 
     def add(self, fact: Fact) -> None:
-        """Pass a fact on; it takes the place of what was to be said of the same name."""
+        """Pass a fact on; it takes the place of an earlier one of the same name."""
         self._facts[fact.name], self._sent[fact.name] = fact, 0
 
     def forget(self, name: str) -> None:
@@ -29,9 +29,9 @@
         self._facts.pop(name, None)
         self._sent.pop(name, None)
 
-    def take(self, most: int, members: int) -> tuple[Fact, ...]:
+    def take(self, limit: int, members: int) -> tuple[Fact, ...]:
         """Up to so many facts for one message; a fact that was passed on often enough is dropped."""
-        chosen = sorted(self._facts, key=lambda name: (self._sent[name], name))[:most]
+        chosen = sorted(self._facts, key=lambda name: (self._sent[name], name))[:limit]
         facts = tuple(self._facts[name] for name in chosen)
         limit = SPREAD * max(1, ceil(log10(members + 1)))
         for name in chosen:
--- a/grebeproxy/membership/lease.py
+++ b/grebeproxy/membership/lease.py
@@ -23,15 +23,15 @@
 
 DRIFT = 0.02  # part by which two clocks may run apart
 RENEW = 0.3  # part of the length after which the votes are asked for anew
-AGAIN = 0.1  # the same after which they are asked for where a majority did not answer
-MOST_LEASES = 64
-MOST_BALLOT = 2**53
+RETRY = 0.1  # the same after which they are asked for where a majority did not answer
+MAX_LEASES = 64
+MAX_BALLOT = 2**53
 
 Token = tuple[int, str]  # ballot and holder: no two holders have the same one
 
 
-class Word(IntEnum):
-    """What is said of a lease."""
+class VoteKind(IntEnum):
+    """What a message on a lease is for."""
 
     ASK = 1  # vote for me under this ballot
     GRANT = 2  # you have my vote, from when your ``asked`` reached me
@@ -45,7 +45,7 @@
     earlier.
     """
 
-    word: Word
+    kind: VoteKind
     lease: str
     ballot: int
     asked: int = 0
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class VoteHeard:
+class VoteReceived:
     """A message from a member, by name and instance."""
 
     sender: str
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ViewSeen:
+class ViewUpdated:
     """There is a new view of the members; ``twin`` where another process of this name is about."""
 
     view: View
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class LeaseWanted:
     """This router would do what the lease is for, or would not any longer."""
 
     lease: str
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class TokenRefused:
     """What the lease is for was refused: a token this high was seen where it takes effect."""
 
     lease: str
@@ -92,11 +92,11 @@
     """The time asked for with ``Wake`` has come."""
 
 
-Event = Union[VoteHeard, ViewSeen, Wanted, Refused, Woken]
+Event = Union[VoteReceived, ViewUpdated, LeaseWanted, TokenRefused, Woken]
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendVote:
     """Send a vote message to a member."""
 
     to: str
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class LeaseAcquired:
     """The lease is held under that token, from now on and while ``token`` says so."""
 
     lease: str
@@ -112,13 +112,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class LeaseLost:
     """The lease is not held any longer."""
 
     lease: str
 
 
-Effect = Union[Tell, Held, Over, Wake]
+Effect = Union[SendVote, LeaseAcquired, LeaseLost, Wake]
 
 
 @dataclass(slots=True)
@@ -168,21 +168,21 @@
         return claim.token if claim is not None and now < claim.until else None
 
     def step(self, now: float, events: Iterable[Event]) -> list[Effect]:
-        """Take what happened, in order, and tell what is to be done."""
+        """Take what happened, in order; gives the effects to carry out."""
         self.now, self._effects = now, []
         for event in events:
             match event:
-                case VoteHeard():
-                    self._heard(event)
-                case ViewSeen(view, twin):
+                case VoteReceived():
+                    self._on_vote(event)
+                case ViewUpdated(view, twin):
                     self._view = view
                     if twin:  # it may vote as well, under the same name
                         self._votes_from = now + self.length * (1.0 + DRIFT)
-                case Wanted(lease, wanted):
+                case LeaseWanted(lease, wanted):
                     self._want(lease, wanted)
-                case Refused(lease, token):
+                case TokenRefused(lease, token):
                     if (claim := self._claims.get(lease)) is not None:
-                        claim.ballot = max(claim.ballot, min(token[0], MOST_BALLOT))
+                        claim.ballot = max(claim.ballot, min(token[0], MAX_BALLOT))
                         self._give_up(lease, claim)
                         claim.next_at = now
                 case Woken():
@@ -191,9 +191,9 @@
         for lease, claim in self._claims.items():
             if claim.token is not None and now >= claim.until:
                 claim.token = None
-                self._effects.append(Over(lease))
+                self._effects.append(LeaseLost(lease))
             if now >= claim.next_at:
-                self._ask(lease, claim)
+                self._request_votes(lease, claim)
         self._ask_to_wake()
         return self._effects
 
@@ -213,7 +213,7 @@
 
     def _want(self, lease: str, wanted: bool) -> None:
         claim = self._claims.get(lease)
-        if wanted and claim is None and len(self._claims) < MOST_LEASES:
+        if wanted and claim is None and len(self._claims) < MAX_LEASES:
             self._claims[lease] = Claim(next_at=self.now)
         elif not wanted and claim is not None:
             self._give_up(lease, claim)
@@ -222,34 +222,34 @@
     def _give_up(self, lease: str, claim: Claim) -> None:
         if claim.token is not None:
             claim.token, claim.until = None, 0.0
-            self._effects.append(Over(lease))
+            self._effects.append(LeaseLost(lease))
         for name in self._view.members:
-            self._tell(name, Vote(Word.GIVE_BACK, lease, claim.ballot))
+            self._send(name, Vote(VoteKind.GIVE_BACK, lease, claim.ballot))
         claim.asked = 0
 
-    def _ask(self, lease: str, claim: Claim) -> None:
+    def _request_votes(self, lease: str, claim: Claim) -> None:
         """Ask all for their votes: to renew under the same ballot, else under a higher one."""
-        claim.next_at = self.now + self.length * AGAIN * (1.0 + self.rng.random())
+        claim.next_at = self.now + self.length * RETRY * (1.0 + self.rng.random())
         if not self._view.quorate:
             return
         if claim.token is None:
             if claim.asked:
                 # Guards against two that each keep and renew a part of the votes: nobody would get more.
                 self._give_up(lease, claim)
-                claim.next_at = self.now + self.length * AGAIN * (1.0 + 4.0 * self.rng.random())
+                claim.next_at = self.now + self.length * RETRY * (1.0 + 4.0 * self.rng.random())
                 return
             known = self._promises.get(lease)
             if known is not None and self.now < known.until and known.holder != self.name:
-                claim.next_at = known.until + self.length * AGAIN * self.rng.random()
+                claim.next_at = known.until + self.length * RETRY * self.rng.random()
                 return
             claim.ballot = max(claim.ballot, known.ballot if known is not None else 0) + 1
         self._asked += 1
         claim.asked, claim.asked_at, claim.votes = self._asked, self.now, set()
         claim.denied = set()
         for name in self._view.members:
-            self._tell(name, Vote(Word.ASK, lease, claim.ballot, claim.asked))
+            self._send(name, Vote(VoteKind.ASK, lease, claim.ballot, claim.asked))
 
-    def _counted(self, lease: str, claim: Claim, voter: str) -> None:
+    def _on_granted(self, lease: str, claim: Claim, voter: str) -> None:
         claim.votes.add(voter)
         if 2 * len(claim.votes) <= self.fleet:
             return
@@ -259,54 +259,55 @@
         claim.next_at = max(self.now, claim.asked_at + self.length * RENEW)
         if claim.token is None:
             claim.token = (claim.ballot, self.name)
-            self._effects.append(Held(lease, claim.token))
+            self._effects.append(LeaseAcquired(lease, claim.token))
 
     def _denied(self, vote: Vote, claim: Claim, voter: str) -> None:
         """Where a majority can't be had any more, the votes that were given are of use to others."""
         claim.denied.add(voter)
         if 2 * len(claim.denied) >= self.fleet:
             self._give_up(vote.lease, claim)
-            claim.next_at = self.now + self.length * AGAIN * (1.0 + 4.0 * self.rng.random())
-        claim.ballot = max(claim.ballot, min(vote.ballot, MOST_BALLOT))
+            claim.next_at = self.now + self.length * RETRY * (1.0 + 4.0 * self.rng.random())
+        claim.ballot = max(claim.ballot, min(vote.ballot, MAX_BALLOT))
 
     # --- as a voter
 
-    def _tell(self, to: str, vote: Vote) -> None:
+    def _send(self, to: str, vote: Vote) -> None:
         if to == self.name:  # one's own vote needs no datagram
-            self._heard(VoteHeard(self.name, self.instance, vote))
+            self._on_vote(VoteReceived(self.name, self.instance, vote))
         else:
-            self._effects.append(Tell(to, vote))
+            self._effects.append(SendVote(to, vote))
 
-    def _heard(self, event: VoteHeard) -> None:
+    def _on_vote(self, event: VoteReceived) -> None:
         vote, claim = event.vote, self._claims.get(event.vote.lease)
-        match vote.word:
-            case Word.ASK:
-                self._tell(event.sender, self._answer(event))
-            case Word.GIVE_BACK:
+        match vote.kind:
+            case VoteKind.ASK:
+                self._send(event.sender, self._answer(event))
+            case VoteKind.GIVE_BACK:
                 kept = self._promises.get(vote.lease)
                 if kept is not None and kept.instance == event.instance and kept.ballot <= vote.ballot:
                     kept.until = min(kept.until, self.now)
-            case Word.GRANT if claim is not None and (vote.asked, vote.ballot) == (claim.asked, claim.ballot):
-                self._counted(vote.lease, claim, event.sender)
-            case Word.DENY if claim is not None and vote.asked == claim.asked and claim.token is None:
+            case VoteKind.GRANT if claim is not None:
+                if (vote.asked, vote.ballot) == (claim.asked, claim.ballot):
+                    self._on_granted(vote.lease, claim, event.sender)
+            case VoteKind.DENY if claim is not None and vote.asked == claim.asked and claim.token is None:
                 self._denied(vote, claim, event.sender)
 
-    def _answer(self, event: VoteHeard) -> Vote:
+    def _answer(self, event: VoteReceived) -> Vote:
         """Vote, or say why not: a promise to another, a ballot that is not above it, or a start just made."""
         vote = event.vote
-        if not 0 < vote.ballot <= MOST_BALLOT:
-            return replace(vote, word=Word.DENY, ballot=0)
+        if not 0 < vote.ballot <= MAX_BALLOT:
+            return replace(vote, kind=VoteKind.DENY, ballot=0)
         kept = self._promises.get(vote.lease, Promise())
         same = kept.instance == event.instance and kept.holder == event.sender
         free = self.now >= kept.until and vote.ballot > kept.ballot
         renews = same and vote.ballot >= kept.ballot
-        full = vote.lease not in self._promises and len(self._promises) >= MOST_LEASES
+        full = vote.lease not in self._promises and len(self._promises) >= MAX_LEASES
         if self.now < self._votes_from or full or not (free or renews):
-            return replace(vote, word=Word.DENY, ballot=kept.ballot)
+            return replace(vote, kind=VoteKind.DENY, ballot=kept.ballot)
         self._promises[vote.lease] = Promise(
             vote.ballot, event.sender, event.instance, self.now + self.length
         )
-        return replace(vote, word=Word.GRANT)
+        return replace(vote, kind=VoteKind.GRANT)
 
 
 class Fence:
@@ -316,7 +317,7 @@
         self._highest: dict[str, Token] = {}
 
     def admit(self, lease: str, token: Token) -> bool:
-        """Tell whether what comes under this token may take effect."""
+        """Whether what comes under this token may take effect."""
         if token < self._highest.get(lease, (0, "")):
             return False
         self._highest[lease] = token
--- a/grebeproxy/membership/model.py
+++ b/grebeproxy/membership/model.py
@@ -1,4 +1,4 @@
-"""What routers say of each other, as plain values. Times are seconds on the local monotonic clock."""
+"""What routers send about each other, as plain values. Times are seconds on the local monotonic clock."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     """One statement on a member.
 
     ``instance`` tells processes of one name apart; only the member itself raises its ``incarnation``, to
-    refute what is said of it. ``by`` is who came to suspect it.
+    refute what others hold of it. ``by`` is who came to suspect it.
     """
 
     name: str
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class MessageReceived:
     """A message that came, checked by the codec."""
 
     message: Message
@@ -103,18 +103,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaveAsked:
-    """This router ends, and says so."""
+class LeaveRequested:
+    """This router is to end, and to send that it does."""
 
 
-Event = Union[Heard, Woken, LeaveAsked]
+Event = Union[MessageReceived, Woken, LeaveRequested]
 
 
 # --- effects
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class Send:
     """Send a message."""
 
     to: Address
@@ -129,26 +129,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class ViewChanged:
     """There is a new view."""
 
     view: View
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """Something that staff may want to know: a word and the names it is about."""
+class Notice:
+    """Something that operators may want to know: what happened, and to which member."""
 
-    word: str
+    event: str
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class Displaced:
-    """Another process of this name is there and goes on; this one has to say nothing more."""
+    """Another process of this name is there and goes on; this one has to send nothing more."""
 
 
-Effect = Union[Say, Wake, Changed, Told, Displaced]
+Effect = Union[Send, Wake, ViewChanged, Notice, Displaced]
 
 
 @dataclass(frozen=True, slots=True)
--- a/grebeproxy/membership/suspicion.py
+++ b/grebeproxy/membership/suspicion.py
@@ -11,7 +11,7 @@
 
 SHORTEST, LONGEST = 4.0, 6.0  # in periods and the logarithm of members; and times that at first
 CONFIRMERS = 3  # others that suspect it as well, until the wait is the shortest
-WORST = 8  # of the score for oneself, 0 is best
+MAX_SCORE = 8  # of the score for oneself, 0 is best
 DISTRUST = 5  # from here on a process does not trust its own view
 
 
@@ -33,8 +33,8 @@
     def until(self) -> float:
         """When the member counts as failed."""
         longest = LONGEST * self.shortest
-        told = max(0, len(self.by) - 1)
-        wait = longest - (longest - self.shortest) * log(told + 1) / log(CONFIRMERS + 1)
+        confirmations = max(0, len(self.by) - 1)
+        wait = longest - (longest - self.shortest) * log(confirmations + 1) / log(CONFIRMERS + 1)
         return self.began + max(self.shortest, wait)
 
 
@@ -55,9 +55,9 @@
 
     def worse(self, by: int = 1) -> None:
         """Something that was due did not come, or others took this process for failed."""
-        self.score = min(WORST, self.score + by)
+        self.score = min(MAX_SCORE, self.score + by)
 
     @property
-    def stretch(self) -> int:
+    def timeout_factor(self) -> int:
         """Times the usual time-outs."""
         return 1 + self.score
--- a/grebeproxy/membership/swim.py
+++ b/grebeproxy/membership/swim.py
@@ -18,34 +18,36 @@
 
 from grebeproxy.membership.model import (
     Address,
-    Changed,
+    ViewChanged,
     Condition,
     Config,
     Displaced,
     Effect,
     Event,
     Fact,
-    Heard,
+    MessageReceived,
     Kind,
-    LeaveAsked,
+    LeaveRequested,
     Message,
-    Say,
+    Send,
     State,
-    Told,
+    Notice,
     View,
     Wake,
     Woken,
 )
-from grebeproxy.membership.rumours import Rumours
+from grebeproxy.membership.gossip_queue import GossipQueue
 from grebeproxy.membership.suspicion import DISTRUST, Health, Suspicion, shortest
 
-FACTS = 8  # in one message, so that it fits a packet
-GOSSIP_TO = 3  # others that are told between probes, while there is something to tell
+FACTS_PER_MESSAGE = 8  # in one message, so that it fits a packet
+GOSSIP_TO = 3  # others that get gossip between probes, while there is some
 JOIN_EVERY = 2.0  # periods between tries of the seeds while nobody is known
 SYNC_EVERY, HEAL_EVERY = 20.0, 8.0  # periods between full exchanges, and tries of those that are lost
-FORGET = 120.0  # periods for which a failed member is remembered: older facts may still be on their way
-SPARE = 4  # times the configured fleet that are known at most
-FROZEN = 4.0  # periods beyond the time asked for after which this process takes itself to have stood still
+# Periods for which a failed member is remembered: older facts may still be on their way.
+REMEMBER_FAILED = 120.0
+MAX_MEMBERS_FACTOR = 4  # times the configured fleet that are known at most
+# Periods beyond the time asked for after which this process takes itself to have stood still.
+PAUSE_THRESHOLD = 4.0
 OUTBIDS, OUTBID_FOR = 3, 20.0  # times, in so many periods, that a twin is outbid before one yields
 
 
@@ -72,7 +74,7 @@
         self.displaced = self.left = False
         self._suspicions: dict[str, Suspicion] = {}
         self._lost: dict[str, float] = {}  # failed and left members, and until when they are remembered
-        self._rumours = Rumours()
+        self._gossip_queue = GossipQueue()
         self._order: list[str] = []  # members still to be probed in this round
         self._probe: Probe | None = None
         self._relayed: dict[int, tuple[Message, bool]] = {}  # pings for others: who asked, if answered
@@ -95,23 +97,23 @@
     # --- the reducer
 
     def step(self, now: float, events: Iterable[Event]) -> list[Effect]:
-        """Take what happened, in order, and tell what is to be done."""
+        """Take what happened, in order; gives the effects to carry out."""
         self._effects = []
-        if self._wake_at is not None and now > self._wake_at + FROZEN * self.config.period:
-            self._stood_still(now)
+        if self._wake_at is not None and now > self._wake_at + PAUSE_THRESHOLD * self.config.period:
+            self._on_pause(now)
         self.now = now
         for event in events:
             match event:
-                case Heard(message) if not (self.displaced or self.left):
-                    self._heard(message)
+                case MessageReceived(message) if not (self.displaced or self.left):
+                    self._on_message(message)
                 case Woken():
                     self._wake_at = None
-                case LeaveAsked() if not (self.displaced or self.left):
+                case LeaveRequested() if not (self.displaced or self.left):
                     self._leave()
         while self._timers and self._timers[0][0] <= now and not (self.displaced or self.left):
             _, _, call, args = heappop(self._timers)
             call(*args)
-        self._look()
+        self._update_view()
         if (
             self._timers
             and not (self.displaced or self.left)
@@ -124,7 +126,7 @@
     def _at(self, at: float, call: Callable[..., None], *args: Any) -> None:
         heappush(self._timers, (at, next(self._numbers), call, args))
 
-    def _stood_still(self, now: float) -> None:
+    def _on_pause(self, now: float) -> None:
         """Guards others against what a process believes that stood still: time-outs ran out unseen."""
         still = now - (self._wake_at or now)
         self.health.worse(2)
@@ -132,10 +134,10 @@
         self._relayed.clear()
         for suspicion in self._suspicions.values():
             suspicion.began += still
-        self._effects.append(Told("stood still", self.config.name))
+        self._effects.append(Notice("stood still", self.config.name))
         self._at(now, self._sync)
 
-    def _say(
+    def _send(
         self,
         kind: Kind,
         to: Address,
@@ -146,27 +148,27 @@
         facts: tuple[Fact, ...] | None = None,
     ) -> None:
         if facts is None:
-            facts = self._rumours.take(FACTS, len(self.facts))
-        self._effects.append(Say(to, Message(kind, self.me, number, target, digest, facts)))
+            facts = self._gossip_queue.take(FACTS_PER_MESSAGE, len(self.facts))
+        self._effects.append(Send(to, Message(kind, self.me, number, target, digest, facts)))
 
     # --- what comes
 
-    def _heard(self, message: Message) -> None:
+    def _on_message(self, message: Message) -> None:
         sender = message.sender
         if sender.name == self.config.name and sender.instance == self.me.instance:
             return  # one's own, come back
         held = self.facts.get(sender.name)
-        self._learn(sender)
+        self._merge(sender)
         if held is not None and held.state is not State.ALIVE and held.rank >= sender.rank:
             # It does not know what is held of it, and so cannot refute it.
-            self._say(Kind.GOSSIP, sender.address, facts=(held,))
+            self._send(Kind.GOSSIP, sender.address, facts=(held,))
         for fact in message.facts:
-            self._learn(fact)
+            self._merge(fact)
         if self.displaced or self.left:
             return
         match message.kind:
             case Kind.PING if message.target == self.config.name:
-                self._say(Kind.ACK, sender.address, number=message.number)
+                self._send(Kind.ACK, sender.address, number=message.number)
             case Kind.ACK:
                 self._acknowledged(message)
             case Kind.ASK:
@@ -174,30 +176,30 @@
             case Kind.NACK if self._probe is not None and message.number == self._probe.number:
                 self._probe.nacks = max(0, self._probe.nacks - 1)
             case Kind.SYNC if message.digest != self._digest():
-                self._tell_all(sender.address)
-                self._say(Kind.DIGEST, sender.address, digest=self._digest())
+                self._send_all_facts(sender.address)
+                self._send(Kind.DIGEST, sender.address, digest=self._digest())
             case Kind.DIGEST if message.digest != self._digest():
-                self._tell_all(sender.address)
+                self._send_all_facts(sender.address)
 
-    def _learn(self, fact: Fact) -> None:
+    def _merge(self, fact: Fact) -> None:
         """Merge one fact."""
         if fact.name == self.config.name:
-            self._of_me(fact)
+            self._refute(fact)
             return
         held = self.facts.get(fact.name)
-        most = SPARE * self.config.fleet + SPARE
-        if held is None and (fact.state >= State.DEAD or len(self.facts) >= most):
+        limit = MAX_MEMBERS_FACTOR * self.config.fleet + MAX_MEMBERS_FACTOR
+        if held is None and (fact.state >= State.DEAD or len(self.facts) >= limit):
             return  # nothing is known that this could change; or too many names are in use
         if held is not None and fact.rank <= held.rank:
             if fact.rank == held.rank and fact.state is State.SUSPECT:
                 suspicion = self._suspicions.get(fact.name)
                 if suspicion is not None and suspicion.confirm(fact.by):
-                    self._rumours.add(fact)
+                    self._gossip_queue.add(fact)
                     self._at(suspicion.until(), self._failed, fact.name, suspicion)
             return
         self.facts[fact.name] = fact
         self._stale = True
-        self._rumours.add(fact)
+        self._gossip_queue.add(fact)
         self._lost.pop(fact.name, None)
         if fact.state is State.SUSPECT:
             if fact.name not in self._suspicions:
@@ -209,16 +211,16 @@
         if fact.state is State.ALIVE:
             if held is None or held.state >= State.DEAD:
                 self._order.insert(self.rng.randrange(len(self._order) + 1), fact.name)
-                self._effects.append(Told("joined", fact.name))
+                self._effects.append(Notice("joined", fact.name))
             elif held.instance != fact.instance:
-                self._effects.append(Told("restarted", fact.name))
+                self._effects.append(Notice("restarted", fact.name))
         else:
-            self._lost[fact.name] = self.now + FORGET * self.config.period
-            word = "left" if fact.state is State.LEFT else "failed"
+            self._lost[fact.name] = self.now + REMEMBER_FAILED * self.config.period
+            event = "left" if fact.state is State.LEFT else "failed"
             if held is None or held.state < State.DEAD:
-                self._effects.append(Told(word, fact.name))
+                self._effects.append(Notice(event, fact.name))
 
-    def _of_me(self, fact: Fact) -> None:
+    def _refute(self, fact: Fact) -> None:
         """Refute what others say of this router, or of an earlier process of its name."""
         mine, theirs = (self.me.incarnation, self.me.instance), (fact.incarnation, fact.instance)
         if theirs < mine or (theirs == mine and fact.state is State.ALIVE):
@@ -230,18 +232,18 @@
             self.outbids += 1
             if len(self._outbid) > OUTBIDS and fact.instance > self.me.instance:
                 self.displaced = True
-                self._effects += [Told("displaced", self.config.name), Displaced()]
+                self._effects += [Notice("displaced", self.config.name), Displaced()]
                 return
         elif fact.instance == self.me.instance:
             self.health.worse()
         self.me = replace(self.me, incarnation=fact.incarnation + 1)
         self.facts[self.config.name] = self.me
-        self._rumours.add(self.me)
+        self._gossip_queue.add(self.me)
 
-    def _tell_all(self, to: Address) -> None:
+    def _send_all_facts(self, to: Address) -> None:
         known = [fact for fact in self.facts.values() if fact.name != self.config.name]
-        for start in range(0, len(known), FACTS):
-            self._say(Kind.GOSSIP, to, facts=tuple(known[start : start + FACTS]))
+        for start in range(0, len(known), FACTS_PER_MESSAGE):
+            self._send(Kind.GOSSIP, to, facts=tuple(known[start : start + FACTS_PER_MESSAGE]))
 
     def _digest(self) -> int:
         """Of all that are held to be there; the same facts give the same number."""
@@ -260,7 +262,7 @@
         ]
 
     def _next_probe(self) -> None:
-        period = self.config.period * self.health.stretch
+        period = self.config.period * self.health.timeout_factor
         self._at(self.now + period, self._next_probe)
         target = self._next_target()
         if target is None:
@@ -268,9 +270,9 @@
         self._probe = probe = Probe(next(self._numbers), target.name)
         facts: tuple[Fact, ...] | None = None
         if target.state is State.SUSPECT:  # it is to know, or it could not refute it
-            facts = (target, *self._rumours.take(FACTS - 1, len(self.facts)))
-        self._say(Kind.PING, target.address, number=probe.number, target=target.name, facts=facts)
-        self._at(self.now + self.config.timeout * self.health.stretch, self._no_answer, probe)
+            facts = (target, *self._gossip_queue.take(FACTS_PER_MESSAGE - 1, len(self.facts)))
+        self._send(Kind.PING, target.address, number=probe.number, target=target.name, facts=facts)
+        self._at(self.now + self.config.timeout * self.health.timeout_factor, self._no_answer, probe)
         self._at(self.now + period * 0.95, self._unanswered, probe)
 
     def _next_target(self) -> Fact | None:
@@ -291,7 +293,7 @@
         helpers = [fact for fact in self._others() if fact.state is State.ALIVE and fact.name != probe.target]
         for helper in self.rng.sample(helpers, min(self.config.helpers, len(helpers))):
             probe.asked, probe.nacks = probe.asked + 1, probe.nacks + 1
-            self._say(Kind.ASK, helper.address, number=probe.number, target=target.name)
+            self._send(Kind.ASK, helper.address, number=probe.number, target=target.name)
 
     def _relay(self, message: Message) -> None:
         target = self.facts.get(message.target)
@@ -299,13 +301,13 @@
             return
         number = next(self._numbers)
         self._relayed[number] = (message, False)
-        self._say(Kind.PING, target.address, number=number, target=target.name)
+        self._send(Kind.PING, target.address, number=number, target=target.name)
         self._at(self.now + self.config.timeout, self._relay_over, number)
 
     def _relay_over(self, number: int) -> None:
         asked, answered = self._relayed.pop(number, (None, True))
         if asked is not None and not answered:
-            self._say(Kind.NACK, asked.sender.address, number=asked.number)
+            self._send(Kind.NACK, asked.sender.address, number=asked.number)
 
     def _acknowledged(self, message: Message) -> None:
         if self._probe is not None and message.number == self._probe.number and not self._probe.answered:
@@ -314,7 +316,7 @@
         asked, answered = self._relayed.get(message.number, (None, True))
         if asked is not None and not answered:
             self._relayed[message.number] = (asked, True)
-            self._say(Kind.ACK, asked.sender.address, number=asked.number)
+            self._send(Kind.ACK, asked.sender.address, number=asked.number)
 
     def _unanswered(self, probe: Probe) -> None:
         """The period is over and nobody got through. What helpers did not say may be lost on this side."""
@@ -324,7 +326,7 @@
         self.health.worse(probe.nacks if probe.asked else 1)
         fact = self.facts.get(probe.target)
         if fact is not None and fact.state < State.DEAD:
-            self._learn(replace(fact, state=State.SUSPECT, by=self.config.name))
+            self._merge(replace(fact, state=State.SUSPECT, by=self.config.name))
 
     def _failed(self, name: str, suspicion: Suspicion) -> None:
         fact = self.facts.get(name)
@@ -333,19 +335,19 @@
         if self.now < suspicion.until() - 1e-9:  # it was put off meanwhile
             self._at(suspicion.until(), self._failed, name, suspicion)
         else:
-            self._learn(replace(fact, state=State.DEAD))
+            self._merge(replace(fact, state=State.DEAD))
 
     # --- passing on, joining, healing
 
     def _gossip(self) -> None:
         self._at(self.now + self.config.period / 2, self._gossip)
         others = self._others()
-        for fact in self.rng.sample(others, min(GOSSIP_TO, len(others))) if len(self._rumours) else ():
-            self._say(Kind.GOSSIP, fact.address)
+        for fact in self.rng.sample(others, min(GOSSIP_TO, len(others))) if len(self._gossip_queue) else ():
+            self._send(Kind.GOSSIP, fact.address)
 
-    def _ask_for_all(self, address: Address) -> None:
+    def _request_sync(self, address: Address) -> None:
         if address != self.config.address:
-            self._say(Kind.SYNC, address, digest=self._digest(), facts=())
+            self._send(Kind.SYNC, address, digest=self._digest(), facts=())
 
     def _join(self) -> None:
         """Ask the seeds for as long as nobody answers."""
@@ -353,35 +355,35 @@
             return
         self._at(self.now + JOIN_EVERY * self.config.period, self._join)
         for seed in self.rng.sample(self.config.seeds, min(GOSSIP_TO, len(self.config.seeds))):
-            self._ask_for_all(seed)
+            self._request_sync(seed)
 
     def _sync(self) -> None:
         self._at(self.now + SYNC_EVERY * self.config.period * (0.5 + self.rng.random()), self._sync)
         if others := self._others():
-            self._ask_for_all(self.rng.choice(others).address)
+            self._request_sync(self.rng.choice(others).address)
 
     def _heal(self) -> None:
-        """Try one that is lost, or a seed: a cut that has healed is told by nobody else."""
+        """Try one that is lost, or a seed: nobody else reports that a partition has healed."""
         self._at(self.now + HEAL_EVERY * self.config.period * (0.5 + self.rng.random()), self._heal)
         for name in [name for name, until in self._lost.items() if until <= self.now]:
             del self._lost[name], self.facts[name]
             self._stale = True
-            self._rumours.forget(name)
+            self._gossip_queue.forget(name)
         known = {fact.address for fact in self._others()}
         lost = {self.facts[name].address for name in self._lost if self.facts[name].state is State.DEAD}
         if tries := sorted(lost | (set(self.config.seeds) - known)):
-            self._ask_for_all(self.rng.choice(tries))
+            self._request_sync(self.rng.choice(tries))
 
     def _leave(self) -> None:
         self.left = True
         self.me = replace(self.me, state=State.LEFT)
         for fact in self.rng.sample(self._others(), min(2 * GOSSIP_TO, len(self._others()))):
-            self._say(Kind.GOSSIP, fact.address, facts=(self.me,))
+            self._send(Kind.GOSSIP, fact.address, facts=(self.me,))
 
     # --- the view
 
-    def _look(self) -> None:
-        """Tell of a new view, where members or condition are not what they were."""
+    def _update_view(self) -> None:
+        """Report a new view, where members or condition are not what they were."""
         if self._stale:  # of a thousand members each message would cost a pass over all
             self._stale = False
             self._members = tuple(
@@ -403,4 +405,4 @@
         if members != self.view.members or condition is not self.view.condition:
             since = self.view.since if condition is self.view.condition else self.now
             self.view = View(self.view.epoch + 1, members, condition, since)
-            self._effects.append(Changed(self.view))
+            self._effects.append(ViewChanged(self.view))
--- a/grebeproxy/membership/wire.py
+++ b/grebeproxy/membership/wire.py
@@ -19,16 +19,16 @@
 from grebeproxy.membership.model import Fact, Kind, Message, State
 
 VERSION, OLDEST = 2, 1
-MOST_BYTES = 1200  # of a packet, so that it crosses any network whole
+MAX_BYTES = 1200  # of a packet, so that it crosses any network whole
 DIGEST = 16
-MOST_NUMBER = 2**64 - 1
-MOST_NAME, MOST_HOST, MOST_FACTS = 32, 64, 16
+MAX_NUMBER = 2**64 - 1
+MAX_NAME, MAX_HOST, MAX_FACTS = 32, 64, 16
 WINDOW = 1024  # packets by which one may be late
-MOST_SENDERS = 4096  # processes whose packets are counted; the latest heard stay
+MAX_SENDERS = 4096  # processes whose packets are counted; the latest heard stay
 
 
 class WireError(Exception):
-    """A packet that is not taken; the text says why."""
+    """A packet that is not taken; the text gives the reason."""
 
 
 class Sealed:
@@ -43,13 +43,13 @@
         self._number += 1
         body: bytes = msgpack.packb([self._instance, self._number, self._mark, payload])
         packet = bytes([VERSION]) + self._digest(VERSION, body) + body
-        if len(packet) > MOST_BYTES:
+        if len(packet) > MAX_BYTES:
             raise WireError(f"a packet of {len(packet)} bytes")
         return packet
 
     def open(self, packet: bytes) -> Any:
         """The payload of a packet that nobody else has made, and that comes for the first time."""
-        if len(packet) > MOST_BYTES or len(packet) <= 1 + DIGEST:
+        if len(packet) > MAX_BYTES or len(packet) <= 1 + DIGEST:
             raise WireError("of a length that cannot be")
         version, body = packet[0], packet[1 + DIGEST :]
         if version < OLDEST:
@@ -57,10 +57,10 @@
         if not compare_digest(packet[1 : 1 + DIGEST], self._digest(version, body)):
             raise WireError("made with another key")
         try:
-            told: list[Any] = msgpack.unpackb(body)
+            fields: list[Any] = msgpack.unpackb(body)
             if version == 1:  # had no mark
-                told.insert(2, self._mark)
-            instance, number, mark, payload = told[:4]
+                fields.insert(2, self._mark)
+            instance, number, mark, payload = fields[:4]
         except (AttributeError, ValueError, TypeError, msgpack.UnpackException):
             raise WireError("not understood") from None
         if not _natural(instance) or not _natural(number):
@@ -77,7 +77,7 @@
     def _window(self, instance: int) -> Window:
         window = self._windows.setdefault(instance, Window())
         self._windows.move_to_end(instance)
-        if len(self._windows) > MOST_SENDERS:
+        if len(self._windows) > MAX_SENDERS:
             self._windows.popitem(last=False)
         return window
 
@@ -118,7 +118,7 @@
     """The message in a payload. Raises ``WireError`` for one that cannot be."""
     try:
         kind, sender, number, target, digest, facts = payload[:6]  # type: ignore[index]
-        if len(facts) > MOST_FACTS or not _natural(number) or not _natural(digest):
+        if len(facts) > MAX_FACTS or not _natural(number) or not _natural(digest):
             raise WireError("not understood")
         return Message(
             Kind(kind),
@@ -136,20 +136,20 @@
     return [fact.name, *fact.address, fact.instance, fact.incarnation, int(fact.state), fact.by]
 
 
-def _fact(told: Any) -> Fact:
-    name, host, port, instance, incarnation, state, by = told[:7]
-    if not isinstance(host, str) or not 1 <= len(host) <= MOST_HOST or not _natural(port, 65535) or not port:
+def _fact(fields: Any) -> Fact:
+    name, host, port, instance, incarnation, state, by = fields[:7]
+    if not isinstance(host, str) or not 1 <= len(host) <= MAX_HOST or not _natural(port, 65535) or not port:
         raise WireError("not understood")
     if not _natural(instance) or not _natural(incarnation):
         raise WireError("not understood")
     return Fact(_name(name), (host, port), instance, incarnation, State(state), _name(by, empty=True))
 
 
-def _name(told: Any, *, empty: bool = False) -> str:
-    if not isinstance(told, str) or len(told.encode()) > MOST_NAME or not (told or empty):
+def _name(fields: Any, *, empty: bool = False) -> str:
+    if not isinstance(fields, str) or len(fields.encode()) > MAX_NAME or not (fields or empty):
         raise WireError("not understood")
-    return told
+    return fields
 
 
-def _natural(told: Any, most: int = MOST_NUMBER) -> bool:
-    return isinstance(told, int) and not isinstance(told, bool) and 0 <= told <= most
+def _natural(fields: Any, most: int = MAX_NUMBER) -> bool:
+    return isinstance(fields, int) and not isinstance(fields, bool) and 0 <= fields <= most
--- a/grebeproxy/peers/edge.py
+++ b/grebeproxy/peers/edge.py
@@ -83,7 +83,7 @@
             self._transport.close()
 
     def datagram_received(self, data: bytes, addr: tuple[str | object, int]) -> None:
-        """Open a packet; what is spoilt, foreign or came before is counted and told of now and then."""
+        """Open a packet; what is damaged, foreign or a repeat is counted and logged now and then."""
         try:
             payload = self._sealed.open(data)
         except WireError as error:
@@ -95,7 +95,7 @@
         self._carry_out(self.node.step(self.now(), [node.Came(payload)]))
 
     def error_received(self, exc: Exception) -> None:
-        """A member's machine said that nobody listens: its probe tells as much."""
+        """A member's machine reports that nobody listens: its probe shows as much."""
 
     def _carry_out(self, effects: list[node.Effect]) -> None:
         for effect in effects:
--- a/grebeproxy/peers/node.py
+++ b/grebeproxy/peers/node.py
@@ -13,13 +13,13 @@
 
 from grebeproxy import membership
 from grebeproxy.membership import lease, wire
-from grebeproxy.membership.lease import Leases, Token, Vote, Word
+from grebeproxy.membership.lease import Leases, Token, Vote, VoteKind
 from grebeproxy.membership.model import Address, View
 from grebeproxy.peers.operator_file import PeersConfig
-from grebeproxy.replica import Changed, Delta, Digest, Heard, Limits, Members, Send, Store, Woken
+from grebeproxy.replica import Changed, Delta, Digest, MessageReceived, Limits, Members, Send, Store, Woken
 
 MEMBER, VOTE, DIGEST, DELTA = 1, 2, 3, 4
-MOST_ENTRIES = 64
+MAX_ENTRIES = 64
 
 
 # --- events
@@ -123,22 +123,22 @@
         return None if self.ended else self.leases.token(duty, now)
 
     def step(self, now: float, events: Iterable[Event]) -> list[Effect]:
-        """Take what happened, in order, and tell what is to be done."""
+        """Take what happened, in order; gives the effects to carry out."""
         self._effects = []
         for event in events:
             if self.ended:
                 break
             match event:
                 case Came(payload):
-                    self._came(now, payload)
+                    self._on_payload(now, payload)
                 case Tick():
                     self._wake_at = None
                 case Ending():
-                    self._vote(now, *(lease.Wanted(duty.name, False) for duty in self.config.duties))
-                    self._member(now, membership.LeaveAsked())
+                    self._give_up_duties(now)
+                    self._step_membership(now, membership.LeaveRequested())
                     self.ended = True
                 case Declined(duty, token):
-                    self._vote(now, lease.Refused(duty, token))
+                    self._step_leases(now, lease.TokenRefused(duty, token))
         if not self.ended:
             for part, due in list(self._wakes.items()):
                 if now >= due:
@@ -151,37 +151,37 @@
 
     def begin(self, now: float) -> list[Effect]:
         """The first effects."""
-        self._vote(now, *(lease.Wanted(duty.name) for duty in self.config.duties))
+        self._step_leases(now, *(lease.LeaseWanted(duty.name) for duty in self.config.duties))
         return self._effects + self.step(now, [])
 
     def _wake(self, now: float, part: str) -> None:
         match part:
             case "members":
                 self._wakes[part] = now + 3600.0
-                self._member(now, membership.Woken())
+                self._step_membership(now, membership.Woken())
             case "leases":
                 self._wakes[part] = now + 3600.0
-                self._vote(now, lease.Woken())
+                self._step_leases(now, lease.Woken())
             case _:
-                self._copy(now, Woken())
+                self._step_store(now, Woken())
                 self._wakes[part] = self.store.next_at
 
     # --- what comes
 
-    def _came(self, now: float, payload: Any) -> None:
+    def _on_payload(self, now: float, payload: Any) -> None:
         """Guards all parts against a payload that has the key and makes no sense."""
         try:
             kind, rest = payload[0], payload[1:]
             if kind == MEMBER:
-                self._member(now, membership.Heard(wire.unpacked(rest[0])))
+                self._step_membership(now, membership.MessageReceived(wire.unpacked(rest[0])))
             elif kind == VOTE:
-                vote = _vote(rest[2])
+                vote = _unpack_vote(rest[2])
                 if self._knows(rest[0], rest[1]):
-                    self._vote(now, lease.VoteHeard(rest[0], rest[1], vote))
+                    self._step_leases(now, lease.VoteReceived(rest[0], rest[1], vote))
             elif kind in (DIGEST, DELTA):
-                said = _digest(rest[1:]) if kind == DIGEST else _delta(rest[1:])
+                message = _unpack_digest(rest[1:]) if kind == DIGEST else _unpack_delta(rest[1:])
                 if rest[0] in self.view.members:
-                    self._copy(now, Heard(rest[0], said))
+                    self._step_store(now, MessageReceived(rest[0], message))
             else:
                 self.refused += 1
         except (wire.WireError, IndexError, KeyError, TypeError, ValueError):
@@ -194,79 +194,83 @@
 
     # --- the parts
 
-    def _member(self, now: float, *events: membership.Event) -> None:
+    def _step_membership(self, now: float, *events: membership.Event) -> None:
         outbids = self.members.outbids
         for effect in self.members.step(now, events):
             match effect:
-                case membership.Say(to, message):
+                case membership.Send(to, message):
                     self._effects.append(Datagram(to, [MEMBER, wire.packed(message)]))
                 case membership.Wake(at):
                     self._wakes["members"] = at
-                case membership.Told(word, name):
-                    self._line("member", what=word, name=name)
-                case membership.Changed(view):
-                    self._line(
+                case membership.Notice(kind, name):
+                    self._log("member", what=kind, name=name)
+                case membership.ViewChanged(view):
+                    self._log(
                         "view",
                         epoch=view.epoch,
                         condition=view.condition.value,
                         members=" ".join(view.members[:16]),
                         count=len(view.members),
                     )
-                    self._vote(now, lease.ViewSeen(view))
-                    self._copy(now, Members(tuple(n for n in view.members if n != self.config.member.name)))
+                    self._step_leases(now, lease.ViewUpdated(view))
+                    others = tuple(name for name in view.members if name != self.config.member.name)
+                    self._step_store(now, Members(others))
                 case membership.Displaced():
-                    self._vote(now, *(lease.Wanted(duty.name, False) for duty in self.config.duties))
+                    self._give_up_duties(now)
                     self.ended = True
         if self.members.outbids > outbids:
-            self._vote(now, lease.ViewSeen(self.view, twin=True))
+            self._step_leases(now, lease.ViewUpdated(self.view, twin=True))
 
-    def _vote(self, now: float, *events: lease.Event) -> None:
+    def _step_leases(self, now: float, *events: lease.Event) -> None:
         for effect in self.leases.step(now, events):
             match effect:
-                case lease.Tell(to, vote):
+                case lease.SendVote(to, vote):
                     if (fact := self.members.facts.get(to)) is not None:
-                        told = [int(vote.word), vote.lease, vote.ballot, vote.asked]
-                        voted = [VOTE, self.config.member.name, self.instance, told]
+                        fields = [int(vote.kind), vote.lease, vote.ballot, vote.asked]
+                        voted = [VOTE, self.config.member.name, self.instance, fields]
                         self._effects.append(Datagram(fact.address, voted))
-                case lease.Held(what, token):
-                    self._line("lease held", lease=what, ballot=token[0])
+                case lease.LeaseAcquired(what, token):
+                    self._log("lease held", lease=what, ballot=token[0])
                     self._effects.append(Begin(what))
-                case lease.Over(what):
-                    self._line("lease over", lease=what)
+                case lease.LeaseLost(what):
+                    self._log("lease over", lease=what)
                     self._effects.append(Stop(what))
                 case membership.Wake(at):
                     self._wakes["leases"] = at
 
-    def _copy(self, now: float, *events: Heard | Members | Woken) -> None:
+    def _step_store(self, now: float, *events: MessageReceived | Members | Woken) -> None:
         for effect in self.store.step(now, events):
             match effect:
                 case Send(to, message):
                     if (fact := self.members.facts.get(to)) is not None:
-                        payload = _packed(self.config.member.name, message)
+                        payload = _pack(self.config.member.name, message)
                         self._effects.append(Datagram(fact.address, payload))
                 case Changed():
-                    pass  # who uses what is said reads it when it decides
+                    pass  # who uses what is published reads it when it decides
 
-    def _line(self, event: str, **fields: object) -> None:
+    def _give_up_duties(self, now: float) -> None:
+        self._step_leases(now, *(lease.LeaseWanted(duty.name, False) for duty in self.config.duties))
+
+    def _log(self, event: str, **fields: object) -> None:
         self._effects.append(Line(event, tuple(fields.items())))
 
 
-def _vote(told: Any) -> Vote:
-    word, what, ballot, asked = told[:4]
-    return Vote(Word(word), _text(what), _count(ballot), _count(asked))
+def _unpack_vote(fields: Any) -> Vote:
+    kind, what, ballot, asked = fields[:4]
+    return Vote(VoteKind(kind), _text(what), _count(ballot), _count(asked))
 
 
-def _packed(name: str, message: Digest | Delta) -> list[object]:
+def _pack(name: str, message: Digest | Delta) -> list[object]:
     if isinstance(message, Digest):
         versions = [[origin, *version] for origin, version in message.versions]
         return [DIGEST, name, versions, message.whole, message.asks]
-    told = [list(entry) for entry in message.entries]
-    return [DELTA, name, message.origin, *message.life, message.base, message.top, message.age, told]
+    fields = [list(entry) for entry in message.entries]
+    return [DELTA, name, message.origin, *message.life, message.base, message.top, message.age, fields]
 
 
-def _digest(told: list[Any]) -> Digest:
-    versions, whole, asks = told[:3]
-    if len(versions) > MOST_ENTRIES:
+def _unpack_digest(fields: list[Any]) -> Digest:
+    versions, whole, asks = fields[:3]
+    if len(versions) > MAX_ENTRIES:
         raise ValueError("too many origins")
     return Digest(
         tuple(
@@ -278,9 +282,9 @@
     )
 
 
-def _delta(told: list[Any]) -> Delta:
-    origin, generation, life, base, top, age, entries = told[:7]
-    if len(entries) > MOST_ENTRIES or not isinstance(age, int | float) or not age >= 0.0:
+def _unpack_delta(fields: list[Any]) -> Delta:
+    origin, generation, life, base, top, age, entries = fields[:7]
+    if len(entries) > MAX_ENTRIES or not isinstance(age, int | float) or not age >= 0.0:
         raise ValueError("not a delta")
     for _, _, value in entries:
         if value is not None and not isinstance(value, bytes):
@@ -295,13 +299,13 @@
     )
 
 
-def _text(told: Any) -> str:
-    if not isinstance(told, str) or len(told.encode()) > 64:
+def _text(value: Any) -> str:
+    if not isinstance(value, str) or len(value.encode()) > 64:
         raise ValueError("not a name")
-    return told
+    return value
 
 
-def _count(told: Any) -> int:
-    if isinstance(told, bool) or not isinstance(told, int) or told < 0:
+def _count(value: Any) -> int:
+    if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         raise ValueError("not a number")
-    return int(told)
+    return int(value)
--- a/grebeproxy/peers/operator_file.py
+++ b/grebeproxy/peers/operator_file.py
@@ -12,7 +12,7 @@
 
 from grebeproxy.membership import Config
 
-MOST_DUTIES = 32
+MAX_DUTIES = 32
 
 
 class OperatorFileError(Exception):
@@ -58,14 +58,14 @@
     """Check what a file says. Raises ``OperatorFileError``."""
     options = hcl2.SerializationOptions(with_comments=False, strip_string_quotes=True, explicit_blocks=False)
     try:
-        told: dict[str, Any] = hcl2.loads(text, serialization_options=options)
+        document: dict[str, Any] = hcl2.loads(text, serialization_options=options)
     except LarkError as error:
         raise OperatorFileError(f"file: not HCL: {str(error).splitlines()[0]}") from None
-    if unknown := sorted(told.keys() - {"peers", "duty"}):
+    if unknown := sorted(document.keys() - {"peers", "duty"}):
         raise OperatorFileError(f"{unknown[0]}: not known")
-    if len(told.get("peers", [])) != 1:
+    if len(document.get("peers", [])) != 1:
         raise OperatorFileError("peers: one block is needed")
-    fields = Fields("peers", told["peers"][0])
+    fields = Fields("peers", document["peers"][0])
     listen = fields.address("listen")
     advertise = fields.address("advertise", listen)
     fleet, key = fields.number("fleet", least=1.0), fields.text("key")
@@ -81,17 +81,17 @@
         member = Config(name, advertise, int(fleet), seeds, period, timeout, settle=settle)
     except ValueError as error:
         raise OperatorFileError(f"peers.{error}") from None
-    duties = tuple(_duty(block) for block in told.get("duty", []))
-    if len({duty.name for duty in duties}) != len(duties) or len(duties) > MOST_DUTIES:
-        raise OperatorFileError(f"duty: each name once, and {MOST_DUTIES} at most")
+    duties = tuple(_duty(block) for block in document.get("duty", []))
+    if len({duty.name for duty in duties}) != len(duties) or len(duties) > MAX_DUTIES:
+        raise OperatorFileError(f"duty: each name once, and {MAX_DUTIES} at most")
     return PeersConfig(listen, member, key.encode(), lease, duties)
 
 
 def _duty(block: dict[str, Any]) -> Duty:
-    [(name, told)] = block.items()
+    [(name, document)] = block.items()
     if not 1 <= len(name.encode()) <= 64 or not name.isprintable() or " " in name:
         raise OperatorFileError("duty: a name has 1 to 64 bytes and no spaces")
-    fields = Fields(f"duty.{name}", told)
+    fields = Fields(f"duty.{name}", document)
     duty = Duty(name, fields.address("report"), fields.seconds("every_ms", 1000.0))
     fields.done()
     return duty
@@ -100,11 +100,11 @@
 class Fields:
     """The fields of one block, each taken once."""
 
-    def __init__(self, where: str, told: dict[str, Any]) -> None:
-        self._where, self._told = where, dict(told)
+    def __init__(self, where: str, document: dict[str, Any]) -> None:
+        self._where, self._fields = where, dict(document)
 
     def _take(self, name: str) -> Any:
-        return self._told.pop(name, None)
+        return self._fields.pop(name, None)
 
     def fault(self, name: str, text: str) -> OperatorFileError:
         """An error on a field."""
@@ -157,5 +157,5 @@
 
     def done(self) -> None:
         """Refuse what was not asked for: a name that is misspelt must not pass for one that is left out."""
-        if self._told:
-            raise self.fault(min(self._told), "not known")
+        if self._fields:
+            raise self.fault(min(self._fields), "not known")
--- a/grebeproxy/replica/store.py
+++ b/grebeproxy/replica/store.py
@@ -1,7 +1,7 @@
-"""One router's copies of what all say. ``step(now, events)`` gives effects; clock and randomness are passed
-in.
+"""One router's copies of what all publish. ``step(now, events)`` gives effects; clock and randomness are
+passed in.
 
-Now and then it tells one other member how far its copies go, gets what is newer there and gives what is
+Now and then it sends one other member how far its copies go, gets what is newer there and gives what is
 newer here. Each origin marks now and then that it is still there; a copy that was not marked for ``ttl``
 seconds is dropped, and one that is as old is not taken from others, so nothing of a router that is gone
 lives on by being passed round.
@@ -16,10 +16,10 @@
 
 from grebeproxy.replica.records import Delta, Digest, Entry, Record, Version
 
-MARK = ""  # the key that an origin changes only to show that it is there
+HEARTBEAT_KEY = ""  # the key that an origin changes only to show that it is there
 PER_DIGEST, DIGESTS = 16, 6  # origins in one packet, and packets in one exchange
 DELTA_BYTES = 800  # of keys and values in one packet
-MOST_TOP = 2**53
+MAX_TOP = 2**53
 NOTHING = Record((-1, 0))
 
 
@@ -40,13 +40,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """Those that can be told, by name, without oneself."""
+    """Those that can be reached, by name, without oneself."""
 
     names: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class MessageReceived:
     """A message from a member."""
 
     sender: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Tell a member something."""
+    """Send a message to a member."""
 
     to: str
     message: Digest | Delta
@@ -68,12 +68,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """What an origin says is not what it was; an origin that is gone says nothing."""
+    """What an origin publishes has changed; an origin that is gone publishes nothing."""
 
     origin: str
 
 
-Event = Union[Members, Heard, Woken]
+Event = Union[Members, MessageReceived, Woken]
 Effect = Union[Send, Changed]
 
 
@@ -87,13 +87,13 @@
         self.refused = 0  # deltas beyond the bounds
         self._members: tuple[str, ...] = ()
         self._from = 0  # where the next digest begins
-        self._buried: dict[tuple[str, str], float] = {}  # keys taken back, and when that was learned
+        self._tombstones: dict[tuple[str, str], float] = {}  # keys taken back, and when that was learned
         self._effects: list[Effect] = []
 
     # --- one's own
 
     def put(self, now: float, key: str, value: bytes | None) -> None:
-        """Say something, or with ``None`` take it back. Raises ``ValueError`` beyond the bounds."""
+        """Publish a value, or with ``None`` take it back. Raises ``ValueError`` beyond the bounds."""
         mine, limits = self.records[self.name], self.limits
         if not key or len(key.encode()) > 64:
             raise ValueError("key: must have 1 to 64 bytes")
@@ -107,67 +107,67 @@
         self._change(now, key, value)
         if value is not None and mine.size() > limits.record:
             self._change(now, key, None if before is None else before[1])
-            raise ValueError(f"{key}: all that is said has {limits.record} bytes at most")
+            raise ValueError(f"{key}: all that is published has {limits.record} bytes at most")
 
     def _change(self, now: float, key: str, value: bytes | None) -> None:
         mine = self.records[self.name]
         mine.top, mine.at = mine.top + 1, now
         mine.entries[key] = (mine.top, value)
-        self._bury(self.name, key, value)
+        self._record_tombstone(self.name, key, value)
 
-    def _bury(self, origin: str, key: str, value: bytes | None) -> None:
+    def _record_tombstone(self, origin: str, key: str, value: bytes | None) -> None:
         if value is None:
-            self._buried[origin, key] = self.now
+            self._tombstones[origin, key] = self.now
         else:
-            self._buried.pop((origin, key), None)
+            self._tombstones.pop((origin, key), None)
 
     def _outbid(self, theirs: Version) -> None:
         """An earlier process of this name, or a twin, has a higher life: begin one above it."""
         mine = self.records[self.name]
-        mine.life = (min(theirs[0], MOST_TOP) + 1, mine.life[1])
-        self._change(self.now, MARK, b"")
+        mine.life = (min(theirs[0], MAX_TOP) + 1, mine.life[1])
+        self._change(self.now, HEARTBEAT_KEY, b"")
 
     # --- reading
 
     def get(self, origin: str, key: str) -> bytes | None:
-        """What an origin says under a key, as far as is known."""
+        """What an origin publishes under a key, as far as is known."""
         record = self.records.get(origin)
         return record.entries.get(key, (0, None))[1] if record is not None else None
 
     def all(self, key: str) -> dict[str, bytes]:
-        """What each origin says under a key, in the order of names."""
-        said = ((origin, self.get(origin, key)) for origin in sorted(self.records))
-        return {origin: value for origin, value in said if value is not None}
+        """What each origin publishes under a key, in the order of names."""
+        published = ((origin, self.get(origin, key)) for origin in sorted(self.records))
+        return {origin: value for origin, value in published if value is not None}
 
     # --- the reducer
 
     def step(self, now: float, events: Iterable[Event]) -> list[Effect]:
-        """Take what happened, in order, and tell what is to be done."""
+        """Take what happened, in order; gives the effects to carry out."""
         self.now, self._effects = now, []
         for event in events:
             match event:
                 case Members(names):
                     self._members = names
-                case Heard(sender, Digest() as digest):
+                case MessageReceived(sender, Digest() as digest):
                     self._compare(sender, digest)
-                case Heard(_, Delta() as delta):
+                case MessageReceived(_, Delta() as delta):
                     self._apply(delta)
         if now >= self.next_at:
             self.next_at = now + self.limits.every * (0.75 + 0.5 * self.rng.random())
-            self._tidy()
+            self._expire()
             if self._members:
                 to = self.rng.choice(self._members)
                 self._effects += [Send(to, digest) for digest in self._digests()]
         return self._effects
 
-    def _tidy(self) -> None:
+    def _expire(self) -> None:
         mine, ttl = self.records[self.name], self.limits.ttl
         if self.now - mine.at >= ttl / 4:
-            self._change(self.now, MARK, b"")
+            self._change(self.now, HEARTBEAT_KEY, b"")
         # Who has not heard by now that it was taken back holds nothing of that origin any more.
-        for (origin, key), since in list(self._buried.items()):
+        for (origin, key), since in list(self._tombstones.items()):
             if since < self.now - 2 * ttl or origin not in self.records:
-                del self._buried[origin, key]
+                del self._tombstones[origin, key]
                 if origin in self.records:
                     self.records[origin].entries.pop(key, None)
         for origin in [
@@ -191,22 +191,22 @@
 
     def _compare(self, sender: str, digest: Digest) -> None:
         behind = []
-        for origin, told in digest.versions:
+        for origin, theirs in digest.versions:
             held = self.records.get(origin, NOTHING)
-            if origin == self.name and told[:2] > held.life:
-                self._outbid(told)
-            if held.version > told:
-                self._give(sender, origin, held, told[2] if held.life == told[:2] else 0)
-            elif held.version < told:
+            if origin == self.name and theirs[:2] > held.life:
+                self._outbid(theirs)
+            if held.version > theirs:
+                self._send_changes(sender, origin, held, theirs[2] if held.life == theirs[:2] else 0)
+            elif held.version < theirs:
                 behind.append((origin, held.version))
         if digest.whole:
             named = {origin for origin, _ in digest.versions}
             for origin in sorted(self.records.keys() - named):
-                self._give(sender, origin, self.records[origin], 0)
+                self._send_changes(sender, origin, self.records[origin], 0)
         if behind and digest.asks:
             self._effects.append(Send(sender, Digest(tuple(behind), asks=False)))
 
-    def _give(self, to: str, origin: str, held: Record, base: int) -> None:
+    def _send_changes(self, to: str, origin: str, held: Record, base: int) -> None:
         """The changes after ``base``, in their order, as many as fit; the rest at the next exchange."""
         age = max(0.0, self.now - held.at)
         if origin != self.name and age >= self.limits.ttl:
@@ -225,7 +225,7 @@
 
     def _apply(self, delta: Delta) -> None:
         held = self.records.get(delta.origin)
-        if delta.age >= self.limits.ttl or not 0 <= delta.base <= delta.top <= MOST_TOP:
+        if delta.age >= self.limits.ttl or not 0 <= delta.base <= delta.top <= MAX_TOP:
             return
         if delta.origin == self.name:
             if delta.life > self.records[self.name].life:
@@ -237,9 +237,9 @@
         if held is not None and (*delta.life, delta.top) < held.version:
             return
         entries: dict[str, Entry] = {key: (number, value) for key, number, value in delta.entries}
-        told = Record(delta.life, delta.top, self.now - max(0.0, delta.age), entries)
+        theirs = Record(delta.life, delta.top, self.now - max(0.0, delta.age), entries)
         made = Record(held.life, held.top, held.at, dict(held.entries)) if held is not None else Record()
-        made.join(told)
+        made.join(theirs)
         if (
             len(made.entries) > self.limits.keys
             or made.size() > self.limits.record
@@ -250,8 +250,9 @@
         before = {key: entry[1] for key, entry in held.entries.items()} if held is not None else {}
         for key, _, value in delta.entries:
             if key in made.entries and made.entries[key][1] == value:
-                self._bury(delta.origin, key, value)
+                self._record_tombstone(delta.origin, key, value)
         self.records[delta.origin] = made
         after = {key: entry[1] for key, entry in made.entries.items()}
-        if any(before.get(key) != after.get(key) for key in before.keys() | after.keys() if key != MARK):
+        published = (before.keys() | after.keys()) - {HEARTBEAT_KEY}
+        if any(before.get(key) != after.get(key) for key in published):
             self._effects.append(Changed(delta.origin))
--- a/tests/members.py
+++ b/tests/members.py
@@ -9,17 +9,17 @@
 from random import Random
 
 from grebeproxy.membership import (
-    Changed,
+    ViewChanged,
     Condition,
     Config,
     Displaced,
     Effect,
     Event,
-    Heard,
-    LeaveAsked,
+    MessageReceived,
+    LeaveRequested,
     Membership,
-    Say,
-    Told,
+    Send,
+    Notice,
     View,
     Wake,
     Woken,
@@ -84,14 +84,14 @@
             self.carry_out(n, self.cores[n], self.cores[n].step(self.now, events))
 
     def leave(self, n: int) -> None:
-        self.carry_out(n, self.cores[n], self.cores[n].step(self.now, [LeaveAsked()]))
+        self.carry_out(n, self.cores[n], self.cores[n].step(self.now, [LeaveRequested()]))
         del self.cores[n]
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
         while self.queue and self.queue[0][0] <= until:
             self.now, _, n, core, event = heappop(self.queue)
-            if self.cores.get(n) is not core and not isinstance(event, Heard):
+            if self.cores.get(n) is not core and not isinstance(event, MessageReceived):
                 continue
             now_there = self.cores.get(n)
             if now_there is None:
@@ -106,14 +106,14 @@
     def carry_out(self, n: int, core: Membership, effects: Iterable[Effect]) -> None:
         for effect in effects:
             match effect:
-                case Say(to, message):
+                case Send(to, message):
                     self.sent += 1
-                    self.pass_on(n, to[1] - BASE, core, Heard(message))
+                    self.pass_on(n, to[1] - BASE, core, MessageReceived(message))
                 case Wake(at):
                     heappush(self.queue, (max(at, self.now), next(self.numbers), n, core, Woken()))
-                case Told(word, name):
+                case Notice(word, name):
                     self.told.append((self.now, n, word, name))
-                case Changed(view):
+                case ViewChanged(view):
                     self.views.append((self.now, n, view))
                 case Displaced():
                     self.displaced.append(n)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -10,7 +10,7 @@
 from voters import LEASE, LENGTH, Voters
 
 from grebeproxy.membership import lease as leases
-from grebeproxy.membership.lease import Claim, Fence, Leases, Vote, VoteHeard, Word
+from grebeproxy.membership.lease import Claim, Fence, Leases, Vote, VoteReceived, VoteKind
 
 SEEDS = range(150)
 
@@ -25,7 +25,7 @@
     voters.heal()
     voters.frozen_until = [0.0] * voters.n
     for n in range(voters.n):
-        voters.do(n, leases.ViewSeen(voters.view(n)))
+        voters.do(n, leases.ViewUpdated(voters.view(n)))
     return voters
 
 
@@ -64,17 +64,17 @@
         claim.asked_at = self.now
         COUNTED(self, lease, claim, voter)
 
-    def votes_at_once(self: Leases, event: VoteHeard) -> Vote:
+    def votes_at_once(self: Leases, event: VoteReceived) -> Vote:
         self._votes_from = 0.0
         return answer(self, event)
 
-    def votes_twice(self: Leases, event: VoteHeard) -> Vote:
+    def votes_twice(self: Leases, event: VoteReceived) -> Vote:
         self._promises.pop(event.vote.lease, None)
         return answer(self, event)
 
-    def takes_any_answer(self: Leases, event: VoteHeard) -> None:
+    def takes_any_answer(self: Leases, event: VoteReceived) -> None:
         claim = self._claims.get(event.vote.lease)
-        if event.vote.word is Word.GRANT and claim is not None:
+        if event.vote.kind is VoteKind.GRANT and claim is not None:
             event = replace(event, vote=replace(event.vote, asked=claim.asked, ballot=claim.ballot))
         HEARD(self, event)
 
@@ -83,16 +83,16 @@
         return claim.token if claim is not None else None
 
     return [
-        ("counts from the answer", Leases, "_counted", counts_from_the_answer),
+        ("counts from the answer", Leases, "_on_granted", counts_from_the_answer),
         ("votes right after its start", Leases, "_answer", votes_at_once),
         ("votes for two", Leases, "_answer", votes_twice),
-        ("takes answers to an earlier asking", Leases, "_heard", takes_any_answer),
+        ("takes answers to an earlier asking", Leases, "_on_vote", takes_any_answer),
         ("does not look at the clock before it acts", Leases, "token", holds_on),
         ("the fence admits all", Fence, "admit", lambda self, lease, token: True),
     ]
 
 
-COUNTED, HEARD = Leases._counted, Leases._heard
+COUNTED, HEARD = Leases._on_granted, Leases._on_vote
 
 
 @pytest.mark.parametrize("mutant", mutants(), ids=lambda mutant: mutant[0])
@@ -115,23 +115,23 @@
     voters = Voters(1, 3)
     voters.run(3 * LENGTH)
     holder, at = voters.acts[-1][1], voters.now
-    voters.do(holder, leases.Wanted(LEASE, False))
+    voters.do(holder, leases.LeaseWanted(LEASE, False))
     voters.run(LENGTH)
     assert any(act[1] != holder for act in voters.acts if at < act[0] < at + 0.6 * LENGTH)
 
 
 @pytest.mark.parametrize("ballot", [-1, 0, 2**60])
 def test_a_ballot_that_cannot_be_gets_no_vote(ballot: int) -> None:
-    vote = Vote(Word.ASK, "x", ballot)
+    vote = Vote(VoteKind.ASK, "x", ballot)
     voter = Leases("n0", 1, 3, LENGTH, Random(1), -100.0)
-    [told] = voter.step(0.0, [VoteHeard("n1", 2, vote)])
-    assert isinstance(told, leases.Tell) and told.vote == replace(vote, word=Word.DENY, ballot=0)
+    [told] = voter.step(0.0, [VoteReceived("n1", 2, vote)])
+    assert isinstance(told, leases.SendVote) and told.vote == replace(vote, kind=VoteKind.DENY, ballot=0)
 
 
 def test_leases_that_are_asked_for_are_bounded() -> None:
     voter = Leases("n0", 1, 3, LENGTH, Random(1), -100.0)
     for number in range(500):
-        voter.step(0.0, [VoteHeard("n1", 2, Vote(Word.ASK, f"x{number}", 1))])
-    assert len(voter._promises) == leases.MOST_LEASES
+        voter.step(0.0, [VoteReceived("n1", 2, Vote(VoteKind.ASK, f"x{number}", 1))])
+    assert len(voter._promises) == leases.MAX_LEASES
     voter.step(1000.0, [])
     assert not voter._promises
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from members import Net
 
-from grebeproxy.membership import Condition, Heard, Membership, Message
+from grebeproxy.membership import Condition, MessageReceived, Membership, Message
 from grebeproxy.membership.model import Fact, Kind, State
 
 SEEDS = range(40)
@@ -184,7 +184,7 @@
     assert max(len(core.facts) for core in net.cores.values()) <= 12
 
 
-FACTS = st.builds(
+FACTS_PER_MESSAGE = st.builds(
     Fact,
     st.sampled_from(["n1", "n2"]),
     st.just(("127.0.0.1", 9001)),
@@ -194,7 +194,7 @@
 )
 
 
-@given(st.lists(FACTS, max_size=8), st.randoms(use_true_random=False))
+@given(st.lists(FACTS_PER_MESSAGE, max_size=8), st.randoms(use_true_random=False))
 def test_what_is_held_does_not_depend_on_the_order_of_facts(facts: list[Fact], random: Random) -> None:
     """The model: for each name the fact of the highest rank, once anything but an end was heard of it."""
     shuffled = list(facts)
@@ -206,7 +206,7 @@
         core = Membership(Net(1, 3).config(0), 7, Random(1), 0.0)
         sender = Fact("n9", ("127.0.0.1", 9009), 9, 0, State.ALIVE)
         for fact in [*known, *order]:
-            core.step(0.0, [Heard(Message(Kind.GOSSIP, sender, facts=(fact,)))])
+            core.step(0.0, [MessageReceived(Message(Kind.GOSSIP, sender, facts=(fact,)))])
         held.append({name: core.facts[name].rank for name in ("n1", "n2")})
     best = {name: max(fact.rank for fact in [*known, *facts] if fact.name == name) for name in ("n1", "n2")}
     assert held == [best] * 3
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -14,9 +14,9 @@
 from grebeproxy.membership.model import Fact, Kind, Message, State
 from grebeproxy.membership.wire import (
     DIGEST,
-    MOST_BYTES,
-    MOST_FACTS,
-    MOST_NUMBER,
+    MAX_BYTES,
+    MAX_FACTS,
+    MAX_NUMBER,
     WINDOW,
     Sealed,
     Window,
@@ -26,8 +26,8 @@
 )
 
 NAMES = st.text(st.characters(codec="utf-8"), min_size=1, max_size=8)
-NUMBERS = st.integers(0, MOST_NUMBER)
-FACTS = st.builds(
+NUMBERS = st.integers(0, MAX_NUMBER)
+FACTS_PER_MESSAGE = st.builds(
     Fact,
     NAMES,
     st.tuples(st.from_regex(r"[0-9a-f.:]{1,15}", fullmatch=True), st.integers(1, 65535)),
@@ -39,11 +39,11 @@
 MESSAGES = st.builds(
     Message,
     st.sampled_from(Kind),
-    FACTS,
+    FACTS_PER_MESSAGE,
     NUMBERS,
     st.one_of(st.just(""), NAMES),
     NUMBERS,
-    st.lists(FACTS, max_size=8).map(tuple),
+    st.lists(FACTS_PER_MESSAGE, max_size=8).map(tuple),
 )
 KEY = b"a key of the fleet"
 
@@ -56,7 +56,7 @@
 def test_a_message_is_read_as_it_was_written_and_fits_a_packet(message: Message) -> None:
     one, other = pair()
     packet = one.seal(packed(message))
-    assert len(packet) <= MOST_BYTES
+    assert len(packet) <= MAX_BYTES
     assert unpacked(other.open(packet)) == message
     # A second reading, by hand: what is on the wire is what the page says.
     instance, number, mark, payload = msgpack.unpackb(packet[1 + DIGEST :])
@@ -79,7 +79,7 @@
             other.open(spoilt)
 
 
-@given(st.binary(max_size=MOST_BYTES + 1))
+@given(st.binary(max_size=MAX_BYTES + 1))
 def test_noise_is_not_taken(noise: bytes) -> None:
     with pytest.raises(WireError):
         pair()[1].open(noise)
@@ -113,7 +113,7 @@
 def test_a_field_that_cannot_be_is_told_of_whichever_it_is(message: Message, data: st.DataObject) -> None:
     told = packed(message)
     at = data.draw(st.integers(0, 5))
-    told[at] = data.draw(st.sampled_from([None, -1, 2.5, "x" * 33, {}, b"", [[]] * (MOST_FACTS + 1)]))
+    told[at] = data.draw(st.sampled_from([None, -1, 2.5, "x" * 33, {}, b"", [[]] * (MAX_FACTS + 1)]))
     with pytest.raises(WireError):
         unpacked(told)
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from grebeproxy.membership.lease import Vote, Word
+from grebeproxy.membership.lease import Vote, VoteKind
 from grebeproxy.membership.model import Fact, Kind, Message, State
-from grebeproxy.membership.wire import MOST_BYTES, Sealed, packed
+from grebeproxy.membership.wire import MAX_BYTES, Sealed, packed
 from grebeproxy.peers import OperatorFileError, load, parse
 from grebeproxy.peers.node import Came, Datagram, Node, Tick, Wake
 from grebeproxy.replica.store import DELTA_BYTES, PER_DIGEST, Limits
@@ -151,15 +151,15 @@
         [4, name, name, 2**40, 2**48, 2**53, 2**53, 14.9, [["k" * 64, 2**53, value]]],
         [4, name, name, 2**40, 2**48, 2**53, 2**53, 14.9, [["k", 2**53, b""]] * (DELTA_BYTES // 17)],
     ):
-        assert len(Sealed(b"k" * 16, 2**56, 2**32 - 1).seal(payload)) <= MOST_BYTES
+        assert len(Sealed(b"k" * 16, 2**56, 2**32 - 1).seal(payload)) <= MAX_BYTES
 
 
 def test_a_vote_counts_only_from_the_process_that_is_the_member() -> None:
     one = node()
     other = Fact("n2", ("127.0.0.1", 7947), 9, 0, State.ALIVE)
     one.step(1.0, [Came([1, packed(Message(Kind.GOSSIP, other))])])
-    ask = Vote(Word.ASK, "nightly", 3, 1)
-    told = [int(ask.word), ask.lease, ask.ballot, ask.asked]
+    ask = Vote(VoteKind.ASK, "nightly", 3, 1)
+    told = [int(ask.kind), ask.lease, ask.ballot, ask.asked]
 
     def answers(instance: int) -> list[tuple[str, int]]:
         effects = one.step(10.0, [Came([2, "n2", instance, told])])
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -12,8 +12,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from grebeproxy.replica import Changed, Delta, Digest, Heard, Limits, Members, Record, Send, Store, Woken
-from grebeproxy.replica.store import MARK
+from grebeproxy.replica import (
+    Changed,
+    Delta,
+    Digest,
+    Limits,
+    Members,
+    MessageReceived,
+    Record,
+    Send,
+    Store,
+    Woken,
+)
+from grebeproxy.replica.store import HEARTBEAT_KEY
 
 LIMITS = Limits()
 SEEDS = range(60)
@@ -90,7 +101,7 @@
         for _ in range(1 + (self.rng.random() < 0.2)):  # some come twice, and in any order
             if self.side[a] == self.side[b] and self.rng.random() >= self.loss:
                 at = self.now + self.rng.uniform(0.001, 0.3)
-                heappush(self.queue, (at, next(self.numbers), b, Heard(f"n{a}", message)))
+                heappush(self.queue, (at, next(self.numbers), b, MessageReceived(f"n{a}", message)))
 
     def alike(self) -> bool:
         """Each holds what each says, and nothing else."""
@@ -98,7 +109,9 @@
         def held(store: Store, origin: str) -> dict[str, bytes]:
             record = store.records.get(origin, Record())
             return {
-                key: value for key, (_, value) in record.entries.items() if key != MARK and value is not None
+                key: value
+                for key, (_, value) in record.entries.items()
+                if key != HEARTBEAT_KEY and value is not None
             }
 
         return all(
@@ -155,15 +168,15 @@
 def test_an_old_copy_that_comes_late_is_not_taken() -> None:
     store = Store("n0", LIMITS, Random(1), 0.0)
     old = Delta("n1", LIFE, 0, 3, LIMITS.ttl, (("k", 3, b"v"),))
-    assert not [e for e in store.step(1.0, [Heard("n2", old)]) if isinstance(e, Changed)]
-    store.step(1.0, [Heard("n2", replace(old, age=LIMITS.ttl - 1.0))])
+    assert not [e for e in store.step(1.0, [MessageReceived("n2", old)]) if isinstance(e, Changed)]
+    store.step(1.0, [MessageReceived("n2", replace(old, age=LIMITS.ttl - 1.0))])
     assert store.get("n1", "k") == b"v"
     assert store.step(2.5, [Woken()]) == [Changed("n1")] and store.get("n1", "k") is None
 
 
 def test_a_delta_with_a_gap_before_it_is_not_taken() -> None:
     store = Store("n0", LIMITS, Random(1), 0.0)
-    store.step(0.0, [Heard("n1", Delta("n1", LIFE, 4, 5, 0.0, (("k", 5, b"v"),)))])
+    store.step(0.0, [MessageReceived("n1", Delta("n1", LIFE, 4, 5, 0.0, (("k", 5, b"v"),)))])
     assert "n1" not in store.records
 
 
@@ -197,7 +210,7 @@
     store = Store("n0", LIMITS, Random(1), 0.0)
     store.put(0.0, "mine", b"v")
     for origin, life, base, top, age, entries in told:
-        store.step(0.0, [Heard("n3", Delta(origin, life, base, top, age, tuple(entries)))])
+        store.step(0.0, [MessageReceived("n3", Delta(origin, life, base, top, age, tuple(entries)))])
     values = {(origin, key, value) for origin, _, _, _, _, entries in told for key, _, value in entries}
     for origin, record in store.records.items():
         if origin != "n0":
@@ -219,10 +232,10 @@
     many = tuple((f"k{n}", n + 1, b"") for n in range(6))
     large = tuple((f"k{n}", n + 1, b"x" * 30) for n in range(4))
     for origin, entries in (("n1", many), ("n2", large)):
-        store.step(0.0, [Heard("n9", Delta(origin, LIFE, 0, 9, 0.0, entries))])
+        store.step(0.0, [MessageReceived("n9", Delta(origin, LIFE, 0, 9, 0.0, entries))])
         assert origin not in store.records
     for n in range(1, 9):
-        store.step(0.0, [Heard("n9", Delta(f"n{n}", LIFE, 0, 1, 0.0, (("k", 1, b"v"),)))])
+        store.step(0.0, [MessageReceived("n9", Delta(f"n{n}", LIFE, 0, 1, 0.0, (("k", 1, b"v"),)))])
     assert len(store.records) == 4 and store.refused == 2 + 5
 
 
--- a/tests/voters.py
+++ b/tests/voters.py
@@ -12,15 +12,15 @@
     DRIFT,
     Event,
     Fence,
-    Held,
+    LeaseAcquired,
     Leases,
-    Over,
-    Refused,
-    Tell,
+    LeaseLost,
+    TokenRefused,
+    SendVote,
     Token,
-    ViewSeen,
-    VoteHeard,
-    Wanted,
+    ViewUpdated,
+    VoteReceived,
+    LeaseWanted,
     Woken,
 )
 from grebeproxy.membership.model import Condition, View, Wake
@@ -64,7 +64,7 @@
         return Leases(f"n{n}", instance, self.n, LENGTH, Random(instance), self.clock(n, self.now))
 
     def begin(self, n: int) -> None:
-        self.do(n, Wanted(LEASE), ViewSeen(self.view(n)))
+        self.do(n, LeaseWanted(LEASE), ViewUpdated(self.view(n)))
         at = self.now + self.rng.uniform(0, 0.2)
         heappush(self.queue, (at, next(self.numbers), n, self.life[n], "act"))
 
@@ -76,16 +76,16 @@
     def do(self, n: int, *events: Event) -> None:
         for effect in self.cores[n].step(self.clock(n, self.now), events):
             match effect:
-                case Tell(to, vote):
+                case SendVote(to, vote):
                     m = int(to[1:])
                     if self.side[m] == self.side[n] and self.rng.random() >= self.loss:
                         at = self.now + self.rng.uniform(*self.delay)
-                        heard = VoteHeard(f"n{n}", self.cores[n].instance, vote)
+                        heard = VoteReceived(f"n{n}", self.cores[n].instance, vote)
                         heappush(self.queue, (at, next(self.numbers), m, -1, heard))
                 case Wake(at):
                     true = max(self.now, (at - 1000.0 * n) / self.rate[n])
                     heappush(self.queue, (true + 1e-6, next(self.numbers), n, self.life[n], Woken()))
-                case Held() | Over():
+                case LeaseAcquired() | LeaseLost():
                     self.check()
 
     def check(self) -> None:
@@ -126,7 +126,7 @@
             self.acts.append((self.now, n, event[0]))
         else:
             self.refused += 1
-            self.do(n, Refused(LEASE, self.fence.highest(LEASE)))
+            self.do(n, TokenRefused(LEASE, self.fence.highest(LEASE)))
 
     def trouble(self) -> None:
         """One random fault, or the end of one."""
@@ -146,7 +146,7 @@
                 self.loss = self.rng.choice([0.0, 0.3])
                 self.delay = self.rng.choice([(0.001, 0.05), (0.001, 1.5 * LENGTH)])
         for m in range(self.n):
-            self.do(m, ViewSeen(self.view(m)))
+            self.do(m, ViewUpdated(self.view(m)))
 
     def heal(self) -> None:
         self.side, self.loss, self.delay = [0] * self.n, 0.0, (0.001, 0.05)
