--- a/grebeproxy/__main__.py
+++ b/grebeproxy/__main__.py
@@ -10,29 +10,29 @@
 
 
 def peers(name: str, path: str | None) -> Callable[[], BackgroundService] | None:
-    """What this router shares with others, where an operator file says so; nothing of it is imported else."""
+    """What this router shares with others, where an operator file says so; else nothing of it is imported."""
     if not path:
         return None
     from grebeproxy.peers import OperatorFileError, Peers, load
 
     try:
-        told = load(path, name)
+        config = load(path, name)
     except OperatorFileError as error:
         raise ConfigError(f"BALANCER_PEERS: {error}") from None
-    return lambda: Peers(told)
+    return lambda: Peers(config)
 
 
 def main() -> int:
-    """Read the configuration and serve; what stands in the way is told in one line."""
+    """Read the configuration and serve; what stands in the way is reported in one line."""
     try:
         config = load(os.environ)
-        beside = peers(config.name, os.environ.get("BALANCER_PEERS"))
+        background = peers(config.name, os.environ.get("BALANCER_PEERS"))
     except ConfigError as error:
         print(f"grebeproxy: {error}", file=sys.stderr)
         return 2
     logging.basicConfig(level=logging.INFO, format="%(message)s")
     try:
-        run(config, lambda: load(os.environ), beside)
+        run(config, lambda: load(os.environ), background)
     except OSError as error:  # the address is taken, or not this machine's
         print(f"grebeproxy: listen: {error}", file=sys.stderr)
         return 1
--- a/grebeproxy/config.py
+++ b/grebeproxy/config.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What one router is told at its start."""
+    """The configuration of one router."""
 
     name: str
     listen: tuple[str, int]
@@ -63,12 +63,12 @@
     if not path:
         raise ConfigError("BALANCER_CONFIG: is not set")
     try:
-        told = orjson.loads(Path(path).read_bytes())
+        document = orjson.loads(Path(path).read_bytes())
     except OSError as error:
         raise ConfigError(f"BALANCER_CONFIG: {path}: {error.strerror}") from None
     except ValueError as error:
         raise ConfigError(f"BALANCER_CONFIG: {path}: {error}") from None
-    if not isinstance(told, dict):
+    if not isinstance(document, dict):
         raise ConfigError(f"BALANCER_CONFIG: {path}: must hold an object")
     for key, variable in (
         ("name", "BALANCER_NAME"),
@@ -76,56 +76,67 @@
         ("admin", "BALANCER_ADMIN"),
     ):
         if environ.get(variable):
-            told[key] = environ[variable]
+            document[key] = environ[variable]
     folder = Path(environ["TMPDIR"]) if environ.get("TMPDIR") else None
-    return replace(parse(told), listen_fd=_descriptor(environ.get("BALANCER_SOCKET_FD")), folder=folder)
+    return replace(parse(document), listen_fd=_descriptor(environ.get("BALANCER_SOCKET_FD")), folder=folder)
 
 
-def parse(told: dict[str, Any]) -> Config:
+def parse(document: dict[str, Any]) -> Config:
     """Check a configuration and fill in the defaults."""
-    settings = _object(told, "settings")
-    limits = told.get("limits", {})
+    settings = _object(document, "settings")
+    limits = document.get("limits", {})
     if not isinstance(limits, dict):
         raise ConfigError("limits: must be an object")
     sockets = int(_positive(limits, "sockets", DEFAULT_SOCKETS))
     memory_mb = _positive(limits, "memory_mb", DEFAULT_MEMORY_MB)
-    known = told.get("known", {"seq": 0, "results": []})
+    known = _known(document)
+    module, wire = _settings(settings)
+    return Config(
+        name=str(document.get("name", "grebeproxy")),
+        listen=_address(document, "listen"),
+        changelog=_address(document, "changelog"),
+        seed=_seed(document.get("seed", "0")),
+        sockets=sockets,
+        memory_mb=memory_mb,
+        known=known,
+        settings=module,
+        limits=wire,
+        keys=frozenset(_key_paths(document)),
+        admin=_address(document, "admin") if document.get("admin") else None,
+    )
+
+
+def _known(document: dict[str, Any]) -> dict[str, Any]:
+    """The change log's events up to the start, checked."""
+    known: dict[str, Any] = document.get("known", {"seq": 0, "results": []})
     try:
         list(known_events(known, lambda ms: ms / 1000))
     except KeyError as error:
         raise ConfigError(f"known: {error.args[0]}: missing or not known") from None
     except (AttributeError, TypeError, ValueError) as error:
         raise ConfigError(f"known: {error}") from None
+    return known
+
+
+def _settings(settings: dict[str, Any]) -> tuple[Settings, WireLimits]:
+    """The settings for the decision module, and the limits of connections."""
     try:
-        module, wire = settings_from(settings), wire_limits_from(settings)
+        return settings_from(settings), wire_limits_from(settings)
     except KeyError as error:
         raise ConfigError(f"settings.{error.args[0]}: missing or not known") from None
     except (AttributeError, IndexError, TypeError, ValueError) as error:
         raise ConfigError(f"settings.{error}") from None
-    return Config(
-        name=str(told.get("name", "grebeproxy")),
-        listen=_address(told, "listen"),
-        changelog=_address(told, "changelog"),
-        seed=_seed(told.get("seed", "0")),
-        sockets=sockets,
-        memory_mb=memory_mb,
-        known=known,
-        settings=module,
-        limits=wire,
-        keys=frozenset(_paths(told)),
-        admin=_address(told, "admin") if told.get("admin") else None,
-    )
 
 
-def _paths(told: Mapping[str, Any], above: str = "") -> Iterator[str]:
-    for key, value in told.items():
-        yield above + key
-        if above + key in ("limits", "settings", "settings.limits", "settings.obligations"):
-            yield from _paths(value, f"{above}{key}.")
+def _key_paths(document: Mapping[str, Any], prefix: str = "") -> Iterator[str]:
+    for key, value in document.items():
+        yield prefix + key
+        if prefix + key in ("limits", "settings", "settings.limits", "settings.obligations"):
+            yield from _key_paths(value, f"{prefix}{key}.")
 
 
-def _object(told: dict[str, Any], key: str) -> dict[str, Any]:
-    value = told.get(key)
+def _object(document: dict[str, Any], key: str) -> dict[str, Any]:
+    value = document.get(key)
     if not isinstance(value, dict):
         raise ConfigError(f"{key}: must be an object")
     return value
@@ -138,8 +149,8 @@
     return float(value)
 
 
-def _address(told: dict[str, Any], key: str) -> tuple[str, int]:
-    value = told.get(key)
+def _address(document: dict[str, Any], key: str) -> tuple[str, int]:
+    value = document.get(key)
     if not isinstance(value, str):
         raise ConfigError(f"{key}: must be host:port")
     try:
@@ -148,12 +159,12 @@
         raise ConfigError(f"{key}: {error}") from None
 
 
-def _descriptor(told: str | None) -> int | None:
-    if not told:
+def _descriptor(value: str | None) -> int | None:
+    if not value:
         return None
-    if not told.isdecimal() or int(told) > MAX_DESCRIPTOR:
+    if not value.isdecimal() or int(value) > MAX_DESCRIPTOR:
         raise ConfigError("BALANCER_SOCKET_FD: must be the number of a descriptor")
-    return int(told)
+    return int(value)
 
 
 def _seed(value: object) -> int:
--- a/grebeproxy/net/connections/client.py
+++ b/grebeproxy/net/connections/client.py
@@ -48,7 +48,7 @@
         self.host.feed(events.ClientOpened(self.number))
         if self.ended or self.transport is None:
             return
-        # Guards the descriptors: a client's machine that vanishes says no goodbye.
+        # Guards the descriptors: a client's machine that vanishes closes nothing.
         for level, option, value in SOCKET_OPTIONS:
             self.transport.get_extra_info("socket").setsockopt(level, option, value)
 
--- a/grebeproxy/net/events.py
+++ b/grebeproxy/net/events.py
@@ -54,10 +54,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkClosed:
-    """A connection to an engine has ended or could not be made; ``ours`` if this machine lacked something."""
+    """A connection to an engine has ended, or could not be made.
+
+    ``local_shortage`` where that was for want of something on this machine.
+    """
 
     link: int
-    ours: bool = False
+    local_shortage: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/grebeproxy/net/follower.py
+++ b/grebeproxy/net/follower.py
@@ -33,7 +33,7 @@
     connect_timeout: float = CONNECT_TIMEOUT
     open: bool = False
     up: bool = False  # what is dialled has come up
-    dials: int = 0  # tells a connection's timers from those of an earlier one
+    dials: int = 0  # its number: keeps a connection's timers apart from an earlier one's
 
 
 def dial(log: Follower, now: float) -> OpenChangeLog:
@@ -48,7 +48,7 @@
 
 
 def lose(log: Follower) -> float:
-    """The connection is of no more use; tells after how long to dial again, longer each time in vain."""
+    """The connection is of no more use; returns the seconds until the next dial, longer each time in vain."""
     log.open, delay = False, log.backoff
     log.backoff = min(MAX_BACKOFF, 2 * log.backoff)
     return delay
@@ -78,7 +78,7 @@
 
 
 def move(log: Follower, address: Address) -> bool:
-    """The log is elsewhere from now on; tells whether it is to be dialled, from the last event, at once."""
+    """The log is elsewhere from now on; returns whether it is to be dialled at once, from the last event."""
     if address == log.address:
         return False
     log.address, log.backoff, log.connect_timeout = address, BACKOFF, CONNECT_TIMEOUT
@@ -86,7 +86,7 @@
 
 
 def read(log: Follower, update: ChangeLogUpdate, now: float) -> bool:
-    """Tells whether an event is to be applied. Raises ``ValueError`` when events before it are missing."""
+    """Returns whether an event is to be applied. Raises ``ValueError`` when events before it are missing."""
     log.last_heard, log.backoff, log.connect_timeout = now, BACKOFF, CONNECT_TIMEOUT
     if update.change is None or update.seq <= log.seq:  # a sign of life, or an event that comes twice
         return False
--- a/grebeproxy/net/messages.py
+++ b/grebeproxy/net/messages.py
@@ -156,7 +156,7 @@
     STALE = "stale"
     PAGE = "page"
     ALIVE = "alive"
-    INVALID = "spoilt"  # it says what cannot be
+    INVALID = "invalid"  # well framed, with contents that cannot be
 
 
 @dataclass(frozen=True, slots=True)
@@ -176,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeLogUpdate:
-    """One event of the change log; without a list it only says that the log is alive.
+    """One event of the change log; without a list it only shows that the log is alive.
 
     ``addresses`` holds host and port by engine id.
     """
@@ -196,7 +196,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceOn:
-    """Nothing new is to go to an engine, whatever the list says."""
+    """Nothing new is to go to an engine, whatever its state in the list."""
 
     engine: str
 
--- a/grebeproxy/net/msgpack_rpc.py
+++ b/grebeproxy/net/msgpack_rpc.py
@@ -28,7 +28,7 @@
 REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2
 MAX_BYTES, MAX_ITEMS = 64 * 1024, 64  # of one message: a statement and a few fields
 TOPS = (0x93, 0x94)  # an array of three or four
-# From 0xc0 on: bytes of the header or of all, how many of them tell a length, and values for each it tells.
+# From 0xc0 on: bytes of the header or of all, how many of them hold a length, and values for each counted.
 HEADERS = (
     (1, 0, 0),
     (0, 0, 0),
@@ -67,14 +67,14 @@
 # float() alone would also take "nan", "1_0", " 1" and digits of other scripts.
 FIGURE = re.compile(r"[0-9]{1,12}(\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?")
 TXN = re.compile(r"[0-9a-fA-F]{16}")
-# What engines are told of: a comma or an equals sign would end the field there.
+# Fields that are passed on to engines: a comma or an equals sign would end the field there.
 TOKEN = re.compile(r"[^,=\s\x00-\x1f]{1,64}")
 
 
 class Decoder:
     """Splits what a client sends into messages, however the bytes are cut.
 
-    msgpack unpacks what is whole. Its own splitter waits for a body that is said to have 2 GB, as it checks a
+    msgpack unpacks what is whole. Its own splitter waits for a body that announces 2 GB, as it checks a
     length only once all of it has come; here a message is refused on the header that makes it too long.
     """
 
@@ -90,7 +90,7 @@
         """Go by these settings from the next message on.
 
         Classes of the settings before can still be read, as clients may not know yet: what becomes of such a
-        request is for the router to say.
+        request is for the router to decide.
         """
         before, self._now = self._now, {cls.name: cls.effect for cls in settings.classes}
         self._effects = before | self._now
@@ -116,7 +116,7 @@
         del self._buffer[:start]
 
     def _whole(self, start: int) -> bool:
-        """Walk on over the headers; tells whether a message is there whole."""
+        """Walk on over the headers; returns whether a message is there whole."""
         buffer = self._buffer
         while self._left:
             at = start + self._at
--- a/grebeproxy/net/override_file.py
+++ b/grebeproxy/net/override_file.py
@@ -21,7 +21,7 @@
         self._seen: tuple[int, int, int] | None = None
 
     def read(self) -> manual_overrides.Calls | None:
-        """What it says, where it has changed since the last look or writing.
+        """The calls in the file, where it has changed since the last look or writing.
 
         Raises ``OSError``, or ``OverrideFileError`` for what is torn or another router's.
         """
--- a/grebeproxy/net/resp.py
+++ b/grebeproxy/net/resp.py
@@ -60,7 +60,7 @@
     """Splits what an engine sends into answers, however the bytes are cut.
 
     hiredis only encodes here. Its reader takes a length that is too short for the body, passing on a result
-    that is cut off, and waits for a body that is said to have 3 GB: it can be told no bound.
+    that is cut off, and waits for a body that announces 3 GB: it can be given no bound.
     """
 
     def __init__(self) -> None:
@@ -99,7 +99,7 @@
         if not (line.startswith(b"$") and line[1:].isdigit()):
             raise BadFrameError("engine: not a bulk string")
         start, size = end + 2, int(line[1:])
-        # Guards the memory, on the length alone: what is said to have 3 GB ends before it is buffered.
+        # Guards the memory, on the length alone: what announces 3 GB ends before it is buffered.
         if size > MAX_PART_BYTES[len(self._words)]:
             raise BadFrameError("engine: an answer that is too long")
         if len(self._buffer) < start + size + 2:
@@ -113,7 +113,7 @@
 
 
 def _answer(txn: bytes, word: bytes, fields: bytes, body: bytes) -> EngineAnswer:
-    """An answer that is framed as it should be; one that says what cannot be is told as spoilt."""
+    """An answer that is framed as it should be; one with contents that cannot be is invalid."""
     name, kind = txn.decode(errors="replace"), ANSWER_KINDS.get(word, AnswerKind.INVALID)
     try:
         named = dict(item.split("=", 1) for item in fields.decode().split(",")) if fields != b"-" else {}
@@ -129,7 +129,7 @@
 
 
 def _report(text: str | None) -> dict[str, float] | None:
-    """The load report; a gauge that is infinite or not a number tells nothing and is left out."""
+    """The load report; a gauge that is infinite or not a number is left out."""
     if not text:
         return None
     gauges = {}
--- a/grebeproxy/net/router/discovery.py
+++ b/grebeproxy/net/router/discovery.py
@@ -14,7 +14,7 @@
     """The change log: dialled, read, and applied to the engines."""
 
     def _dial_log(self, dials: int) -> None:
-        # Guards against two connections: one that was dialled meanwhile, at another address, has the say.
+        # Guards against two connections: one that was dialled meanwhile, at another address, goes first.
         if dials != self._log.dials:
             return
         self._effects.append(follower.dial(self._log, self.now))
--- a/grebeproxy/net/router/links.py
+++ b/grebeproxy/net/router/links.py
@@ -128,16 +128,16 @@
         else:
             self._at(since + IDLE_SHARE * self.limits.idle_timeout, self._check_idle, link)
 
-    def _drop(self, link: Link, tell: bool = True, ours: bool = False) -> None:
+    def _drop(self, link: Link, close: bool = True, local_shortage: bool = False) -> None:
         """End a connection. What was written to it may have run; what was not never did.
 
-        ``ours`` tells that it could not be made for want of something on this machine.
+        ``local_shortage``: it could not be made for want of something on this machine.
         """
         if self._links.pop(link.id, None) is None:
             return
         self._engine_links[link.engine].remove(link)
         self._clear(link.engine)
-        if tell:
+        if close:
             if commands := self._commands.pop(link.id, None):
                 self._effects.append(Write(link.id, tuple(commands)))
             self._effects.append(CloseLink(link.id))
@@ -145,7 +145,7 @@
             self._commands.pop(link.id, None)
         for attempt in list(link.attempts.values()):
             if not attempt.written:  # it never ran
-                self._end(attempt, api.Outcome.FULL if ours else api.Outcome.CONNECT_FAILED)
+                self._end(attempt, api.Outcome.FULL if local_shortage else api.Outcome.CONNECT_FAILED)
             else:
                 # Guards against a next attempt, or the next in order, that is there before our closing is.
                 # One that was stopped with a part unsent ends here too: nothing else would end it.
--- a/grebeproxy/net/router/reducer.py
+++ b/grebeproxy/net/router/reducer.py
@@ -90,7 +90,7 @@
         return self._finish()
 
     def step(self, now: float, events: Iterable[Event]) -> list[Effect]:
-        """Take what happened, in order, and tell what is to be done."""
+        """Take what happened, in order; gives the effects to carry out."""
         self.now, self._effects, self._sockets_read = now, [], False
         for event in events:
             self._on(event)
@@ -203,8 +203,8 @@
             case LinkOpened():
                 link.up = True
                 self._to_flush[link.id] = link
-            case LinkClosed(_, ours):
-                self._drop(link, tell=False, ours=ours)
+            case LinkClosed(_, local_shortage):
+                self._drop(link, close=False, local_shortage=local_shortage)
             case LinkPaused():
                 link.paused = True
             case LinkResumed():
--- a/grebeproxy/settings.py
+++ b/grebeproxy/settings.py
@@ -1,6 +1,6 @@
-"""The settings that a deployment tells its gateways, from their JSON form to the module's ``Settings``.
+"""The settings of a deployment's routers, from their JSON form to the module's ``Settings``.
 
-The simulator's adapter and the router on sockets both read them here, so both run the same decisions.
+The simulator adapter and the router on sockets both read them here, so both make the same decisions.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     "x0": "memory_granted",
     "x1": "disks_busy",
 }
-# On sockets some of these go by shorter names.
+# On sockets some of these have shorter names.
 REPORTS |= {
     "inflight": "in_flight",
     "queue": "waiting",
@@ -36,7 +36,7 @@
 
 
 def seconds(milliseconds: float | None) -> float:
-    """The wire counts in milliseconds, the module in seconds."""
+    """Milliseconds, as in the settings file, in seconds."""
     return (milliseconds or 0.0) / 1000.0
 
 
@@ -49,7 +49,7 @@
 
 
 def settings_from(profile: Fields) -> api.Settings:
-    """The settings of one dispatcher."""
+    """The settings of one router. Raises KeyError, or ValueError naming the field."""
     family, limits = profile.get("familyInfo", {}), profile["limits"]
     rules, prices, stats = profile["obligations"], profile.get("prices", {}), profile.get("stats", {})
     categories = profile["categories"]
@@ -159,7 +159,7 @@
 
 
 def report_from(info: Fields | None) -> dict[str, float] | None:
-    """A load report under the module's names; what it does not know is skipped."""
+    """A load report under the module's names; fields that it does not know are left out."""
     if not info:
         return None
     return {REPORTS[k]: seconds(v) if k in REPORTS_IN_MS else v for k, v in info.items() if k in REPORTS}
@@ -167,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WireLimits:
-    """What the settings say of connections and open requests; times in seconds."""
+    """The limits of connections and open requests; times in seconds."""
 
     connect_timeout: float
     idle_timeout: float
@@ -176,7 +176,7 @@
 
 
 def wire_limits_from(profile: Fields) -> WireLimits:
-    """The limits that only a gateway on real connections has to keep by itself."""
+    """The limits that only a router on real connections has to keep by itself."""
     limits = profile["limits"]
     return WireLimits(
         connect_timeout=seconds(limits.get("connectTimeout")) or 1.0,
