--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -45,14 +45,14 @@
 
 def with_changes(changes: dict[str, Any]) -> dict[str, Any]:
     """The example's configuration with other values at some paths."""
-    told: dict[str, Any] = orjson.loads(CONFIG.read_bytes())
+    document: dict[str, Any] = orjson.loads(CONFIG.read_bytes())
     for path, value in changes.items():
         *inner, last = path.split(".")
-        part: Any = told
+        part: Any = document
         for key in inner:
             part = part[int(key) if isinstance(part, list) else key]
         part[last] = value
-    return told
+    return document
 
 
 class Stubborn:
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -44,13 +44,13 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             self.address = free.getsockname()
-        told = with_changes(
+        document = with_changes(
             {"listen": "{}:{}".format(*self.address), "changelog": address(self.log), **changes}
         )
-        entries = told["known"]["results"][0]["fleet"]["endpoints"]
+        entries = document["known"]["results"][0]["fleet"]["endpoints"]
         for entry, engine in zip(entries, self.engines, strict=True):
             entry["address"] = address(engine)
-        self.runtime = Runtime(parse(told))
+        self.runtime = Runtime(parse(document))
         self.serving = self.loop.create_task(self.runtime.serve())
         self.watch = self.accept(self.log)
         self.frame()
@@ -159,8 +159,8 @@
 
 
 def ask(number: int, cls: str = "lookup", **fields: str) -> bytes:
-    told = {"txn": f"{number:016x}", "limit": "2000", "team": "city", **fields}
-    packed: bytes = msgpack.packb([0, number, cls, [told, b"SELECT n FROM ops_3.t"]])
+    request = {"txn": f"{number:016x}", "limit": "2000", "team": "city", **fields}
+    packed: bytes = msgpack.packb([0, number, cls, [request, b"SELECT n FROM ops_3.t"]])
     return packed
 
 
@@ -196,7 +196,7 @@
         return False
 
 
-def told(data: bytes) -> list[Any]:
+def answers_in(data: bytes) -> list[Any]:
     """The answers that a client has read."""
     unpacker = msgpack.Unpacker()
     unpacker.feed(data)
--- a/tests/test_change_log_delays.py
+++ b/tests/test_change_log_delays.py
@@ -56,7 +56,7 @@
                         self.hanging -= 1
                         continue
                     self.carry_out(self.router.step(self.now, [events.ChangeLogOpened(dial)]))
-                    newer = [ChangeLogUpdate(seq)] + [news for news in self.log if news.seq > seq]
+                    newer = [ChangeLogUpdate(seq)] + [update for update in self.log if update.seq > seq]
                     self.answers.append((self.now + self.way, newer))
                 case events.OpenLink(link, _):
                     self.carry_out(self.router.step(self.now, [events.LinkOpened(link)]))
@@ -67,22 +67,24 @@
         """Let the time pass, with a frame each second where the link is sound, and a query each 20 ms."""
         while self.now < until:
             self.now += 0.01
-            told: list[events.Event] = [events.Woken()]
+            reported: list[events.Event] = [events.Woken()]
             for at, newer in [answer for answer in self.answers if answer[0] <= self.now]:
-                told += [events.ChangeLogReceived(news) for news in newer]
+                reported += [events.ChangeLogReceived(update) for update in newer]
                 self.answers.remove((at, newer))
             if frames and round(self.now * 100) % 100 == 0:
-                told.append(events.ChangeLogReceived(ChangeLogUpdate(self.log[-1].seq if self.log else 1)))
+                reported.append(
+                    events.ChangeLogReceived(ChangeLogUpdate(self.log[-1].seq if self.log else 1))
+                )
             if round(self.now * 100) % 2 == 0:
                 self.number += 1
-                told += [
+                reported += [
                     events.ClientOpened(self.number),
                     events.ClientMessageReceived(
                         self.number,
                         Call(self.number, f"{self.number:016x}", "lookup", 0.4, b"", tenant="city"),
                     ),
                 ]
-            self.carry_out(self.router.step(self.now, told))
+            self.carry_out(self.router.step(self.now, reported))
 
     def drains(self) -> None:
         """The log writes that the engine drains; the connection may or may not tell."""
@@ -165,7 +167,10 @@
     for step in range(2, 20):
         fleet.now = step / 100
         heard = [
-            events.ChangeLogReceived(news) for at, newer in fleet.answers if at <= fleet.now for news in newer
+            events.ChangeLogReceived(update)
+            for at, newer in fleet.answers
+            if at <= fleet.now
+            for update in newer
         ]
         fleet.answers = [answer for answer in fleet.answers if answer[0] > fleet.now]
         listening.append(fleet.router.step(fleet.now, heard))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -26,9 +26,9 @@
     def __init__(self, settings: api.Settings, now: float, seed: int) -> None:
         self.heard: list[api.Event] = []
 
-    def handle(self, now: float, told: list[api.Event]) -> list[api.Action]:
-        self.heard += told
-        queries = (event for event in told if isinstance(event, api.Query))
+    def handle(self, now: float, batch: list[api.Event]) -> list[api.Action]:
+        self.heard += batch
+        queries = (event for event in batch if isinstance(event, api.Query))
         return [api.Send(query.id, ENGINE, query.due, self.by) for query in queries]
 
 
@@ -47,8 +47,8 @@
     )
     router.start(0.0)
     router.step(0.0, [events.ChangeLogOpened(1)])
-    told = router.step(0.3, [events.ClientOpened(1), events.ClientMessageReceived(1, CALL)])
-    assert any(isinstance(effect, events.OpenLink) for effect in told)
+    effects = router.step(0.3, [events.ClientOpened(1), events.ClientMessageReceived(1, CALL)])
+    assert any(isinstance(effect, events.OpenLink) for effect in effects)
     return router
 
 
@@ -119,9 +119,9 @@
     )
     assert not any(isinstance(effect, events.HalfCloseClient) for effect in router.step(0.33, [served]))
     more = replace(CALL, msg=2, txn="b" * 16)
-    told = router.step(0.34, [events.ClientMessageReceived(1, more), events.Woken()])
-    assert not any(isinstance(effect, events.HalfCloseClient) for effect in told)
-    assert len(runs(told)) == 1
+    effects = router.step(0.34, [events.ClientMessageReceived(1, more), events.Woken()])
+    assert not any(isinstance(effect, events.HalfCloseClient) for effect in effects)
+    assert len(runs(effects)) == 1
     router.step(
         0.35,
         [
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 
 import pytest
-from stage import Stage, answer, ask, ended, give_up, told, waiting
+from stage import Stage, answer, ask, ended, give_up, answers_in, waiting
 
 PAGE = b"".join(b"%04d\txxxxxxx\ty\n" % row for row in range(400))  # 6,000 bytes
 
@@ -28,7 +28,7 @@
     stage.run()
     engine.sendall(answer(number))
     stage.run()
-    assert told(waiting(client))[0][1:3] == [number, None]
+    assert answers_in(waiting(client))[0][1:3] == [number, None]
     waiting(engine)
     return engine
 
@@ -123,7 +123,7 @@
     for _ in range(40):
         data += waiting(client)
         stage.run(0.01)
-    assert told(data)[0][1:3] == [1, None] and len(data) > 48_000
+    assert answers_in(data)[0][1:3] == [1, None] and len(data) > 48_000
     assert ended(client)
 
 
@@ -152,9 +152,9 @@
 def test_a_caller_that_says_more_than_a_call_reads_its_answer() -> None:
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
-        door = free.getsockname()
-    stage = Stage(admin="{}:{}".format(*door))
-    operator = socket.create_connection(door)
+        admin = free.getsockname()
+    stage = Stage(admin="{}:{}".format(*admin))
+    operator = socket.create_connection(admin)
     operator.sendall(b"status\n" + b"x" * 3000)
     stage.run()
     operator.sendall(b"more\n")
@@ -188,7 +188,7 @@
     assert b"REQ" in waiting(engine)
     engine.sendall(answer(2))
     stage.run()
-    assert told(waiting(client))[0][1:3] == [2, None] and ended(client)
+    assert answers_in(waiting(client))[0][1:3] == [2, None] and ended(client)
 
 
 def test_a_request_behind_an_answer_is_served_before_a_router_that_ends_closes(stage: Stage) -> None:
@@ -204,7 +204,7 @@
     assert waiting(engine).count(b"REQ") == 2
     engine.sendall(answer(3))
     stage.run()
-    assert [message[1] for message in told(waiting(client))] == [2, 3] and ended(client)
+    assert [message[1] for message in answers_in(waiting(client))] == [2, 3] and ended(client)
 
 
 def test_what_comes_behind_the_end_of_a_connection_is_not_sent_on(stage: Stage) -> None:
@@ -233,7 +233,7 @@
         stage.run(0.01)
         data += waiting(client)
     data += waiting(client)
-    assert told(data)[0][1:3] == [1, None] and len(data) > 48_000
+    assert answers_in(data)[0][1:3] == [1, None] and len(data) > 48_000
 
 
 def unread_at_the_end(stage: Stage) -> socket.socket:
@@ -259,7 +259,7 @@
         data += waiting(client)
         stage.run(0.01)
     data += waiting(client)
-    assert told(data)[0][1:3] == [1, None] and len(data) > 48_000
+    assert answers_in(data)[0][1:3] == [1, None] and len(data) > 48_000
 
 
 def test_a_client_that_never_reads_holds_the_end_of_the_program_for_two_seconds_at_most(stage: Stage) -> None:
@@ -331,7 +331,7 @@
     stage.run()
     engine.sendall(answer(1))
     stage.run()
-    assert told(waiting(client))[0][1:3] == [1, None]
+    assert answers_in(waiting(client))[0][1:3] == [1, None]
 
 
 # --- descriptors
@@ -351,7 +351,7 @@
     stage.run()
     engine.sendall(answer(1))
     stage.run()
-    assert told(waiting(usual))[0][1:3] == [1, None]
+    assert answers_in(waiting(usual))[0][1:3] == [1, None]
     assert not any(node.faults or node.ejected_at is not None for node in stage.nodes())
     dials = stage.runtime._router._log.dials
     stage.run(1.0)
@@ -391,7 +391,7 @@
         stage.run(0.4)
     engine.sendall(answer(1))
     stage.run()
-    assert told(waiting(client))[0][1:3] == [1, None] and ended(client)
+    assert answers_in(waiting(client))[0][1:3] == [1, None] and ended(client)
     client.close()
     stage.run(0.1)
     assert stage.serving.done()
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -31,7 +31,7 @@
     return to_text(msgpack.packb([0, number, "report", [fields, b"SELECT n FROM ops_3.t"]]))
 
 
-def told(number: int, word: str, fields: str, body: bytes) -> str:
+def answer_line(number: int, word: str, fields: str, body: bytes) -> str:
     words: tuple[Any, ...] = (f"{number:016x}", word, fields, body)
     return to_text(hiredis.pack_command(words))
 
@@ -47,8 +47,8 @@
     lines = [
         f"10 c1 > {asked(1)}",
         "11 L1 up",
-        f"20 L1 > {told(1, 'ok', 'count=8', page(0))}",
-        *(f"30 L1 > {told(1, 'batch', f'pos={number}', page(number))}" for number in order),
+        f"20 L1 > {answer_line(1, 'ok', 'count=8', page(0))}",
+        *(f"30 L1 > {answer_line(1, 'batch', f'pos={number}', page(number))}" for number in order),
     ]
     result = msgpack.packb([1, 1, None, [b"".join(map(page, range(8))), {}]])
     assert len(result) > 48_000
@@ -75,9 +75,9 @@
 def test_a_client_that_reads_none_of_its_answers_loses_its_connection() -> None:
     lines = [f"10 c1 > {asked(1)}", "11 L1 up", "12 c1 full"]
     for number in range(1, 50):
-        rest = "".join(told(number, "batch", f"pos={pos}", page(pos)) for pos in range(1, 8))
+        rest = "".join(answer_line(number, "batch", f"pos={pos}", page(pos)) for pos in range(1, 8))
         lines += [
-            f"{20 + 10 * number} L1 > {told(number, 'ok', 'count=8', page(0))}{rest}",
+            f"{20 + 10 * number} L1 > {answer_line(number, 'ok', 'count=8', page(0))}{rest}",
             f"{21 + 10 * number} c1 > {asked(number + 1)}",
         ]
     played = play("\n".join(lines)).splitlines()
@@ -94,9 +94,11 @@
         "11 L1 up",
     ]
     for number in range(1, 14):  # 42,000 bytes each, of 524,288 in all
-        rest = "".join(told(number, "batch", f"pos={pos}", page(pos)) for pos in range(1, 7))
-        lines.append(f"{20 + number} L1 > {told(number, 'ok', 'count=8', page(0))}{rest}")
-    lines.append(f"60 L1 > {told(14, 'ok', 'count=8', page(0))}")  # a fourteenth, once there is room again
+        rest = "".join(answer_line(number, "batch", f"pos={pos}", page(pos)) for pos in range(1, 7))
+        lines.append(f"{20 + number} L1 > {answer_line(number, 'ok', 'count=8', page(0))}{rest}")
+    lines.append(
+        f"60 L1 > {answer_line(14, 'ok', 'count=8', page(0))}"
+    )  # a fourteenth, once there is room again
     given_up = [line.split()[0] for line in play("\n".join(lines)).splitlines() if r"\r\nEND\r\n" in line]
     assert given_up == ["33"]
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -9,7 +9,7 @@
 import msgpack
 from conftest import LOAD, SHORT, Gateway, cancels, make_settings, sends
 from exchange import START, Player, to_text
-from test_exchanges import told
+from test_exchanges import answer_line
 
 from grebeproxy import Choice
 from grebeproxy.policy.interface import Gone, Outcome
@@ -65,7 +65,7 @@
         if player.dialled > dialled:
             dialled = player.dialled
             happen(at + 25, f"L{dialled}", "up")
-            happen(at + 30, f"L{dialled}", ">", told(life, "ok", "count=1", b"1\ta\tb\n"))
+            happen(at + 30, f"L{dialled}", ">", answer_line(life, "ok", "count=1", b"1\ta\tb\n"))
         if life % 3 == 1:
             happen(at + 31, f"c{life}", "lost")  # every third stays and says nothing more
         player.transcript.clear()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -56,7 +56,7 @@
         self.kept: dict[str, api.QueryClass] = {}  # each request's class as it was when it came
         self.serves = True
         self.exited = self.stopped = False
-        self.door: list[bool] = []
+        self.admin_results: list[bool] = []
         self.settings = settings
         engines = tuple(api.Engine(engine, "medium", cell=n) for n, engine in enumerate(ENGINES))
         known = messages.ChangeLogUpdate(1, api.EngineList(api.ListKind.FULL, engines, 1), self.addresses())
@@ -76,8 +76,8 @@
     def addresses(self) -> dict[str, tuple[str, int]]:
         return {engine: ("127.0.0.1", 9000 + n) for n, engine in enumerate(ENGINES)}
 
-    def do(self, *told: events.Event) -> None:
-        self.carry_out(self.router.step(self.now, told))
+    def do(self, *reported: events.Event) -> None:
+        self.carry_out(self.router.step(self.now, reported))
 
     def carry_out(self, effects: list[events.Effect]) -> None:
         for effect in effects:
@@ -93,10 +93,10 @@
                 case events.Answer(conn, message):
                     self.answered(conn, message)
                 case events.CloseClient(conn) | events.HalfCloseClient(conn):
-                    # One that was told of the end and does not close is closed on a little later.
+                    # A half-closed connection whose client does not close is closed on a little later.
                     assert not self.clients.pop(conn, {}), "closed on with a request open"
                 case events.AnswerAdmin(_, done):
-                    self.door.append(done)
+                    self.admin_results.append(done)
                 case events.Wake(at):
                     self.wake = at
                 case events.Exit():
@@ -271,18 +271,18 @@
         upgrade=st.booleans(),
     )
     def by_hand(self, engine: str, out: bool, upgrade: bool) -> None:
-        self.door.clear()
+        self.admin_results.clear()
         gone = engine != "nobody" and self.listed[engine] is api.EngineState.GONE
         if engine != "nobody" and not (out and gone and not upgrade):  # nobody has one that has gone
             (self.out_by_hand.add if out else self.out_by_hand.discard)(engine)
-        told: messages.AdminCall = messages.MaintenanceOn(engine) if out else messages.MaintenanceOff(engine)
+        call: messages.AdminCall = messages.MaintenanceOn(engine) if out else messages.MaintenanceOff(engine)
         if upgrade and engine != "nobody":  # the call came to the other process
             number = 1 + max((number for number, _ in self.router._overrides.calls.values()), default=0)
             self.do(events.OverridesRead({engine: (number, out)}))
         else:
-            self.do(events.AdminOpened(1), events.AdminCallReceived(1, told))
+            self.do(events.AdminOpened(1), events.AdminCallReceived(1, call))
             if engine == "nobody" or not gone:
-                assert self.door == [engine != "nobody"]
+                assert self.admin_results == [engine != "nobody"]
 
     @rule(
         engine=st.sampled_from(ENGINES),
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -33,10 +33,10 @@
 
 
 def test_a_file_is_read_with_its_defaults() -> None:
-    told = parse(WHOLE, "n1")
-    assert told.listen == told.member.address == ("127.0.0.1", 7946) and told.member.fleet == 3
-    assert (told.member.period, told.member.timeout, told.lease) == (0.5, 0.15, 3.0)
-    assert [(duty.name, duty.every) for duty in told.duties] == [("nightly", 0.25)]
+    config = parse(WHOLE, "n1")
+    assert config.listen == config.member.address == ("127.0.0.1", 7946) and config.member.fleet == 3
+    assert (config.member.period, config.member.timeout, config.lease) == (0.5, 0.15, 3.0)
+    assert [(duty.name, duty.every) for duty in config.duties] == [("nightly", 0.25)]
 
 
 def test_the_example_can_be_used() -> None:
@@ -122,7 +122,7 @@
 PAYLOADS = st.one_of(
     SCRAPS,
     st.builds(
-        lambda kind, told: [kind, *told],
+        lambda kind, rest: [kind, *rest],
         st.sampled_from([1, 2, 3, 4]),
         st.lists(SCRAPS, min_size=2, max_size=9),
     ),
@@ -159,10 +159,10 @@
     other = Fact("n2", ("127.0.0.1", 7947), 9, 0, State.ALIVE)
     one.step(1.0, [Came([1, packed(Message(Kind.GOSSIP, other))])])
     ask = Vote(VoteKind.ASK, "nightly", 3, 1)
-    told = [int(ask.kind), ask.lease, ask.ballot, ask.asked]
+    fields = [int(ask.kind), ask.lease, ask.ballot, ask.asked]
 
     def answers(instance: int) -> list[tuple[str, int]]:
-        effects = one.step(10.0, [Came([2, "n2", instance, told])])
+        effects = one.step(10.0, [Came([2, "n2", instance, fields])])
         votes = [e for e in effects if isinstance(e, Datagram) and e.payload[0] == 2]
         return [vote.to for vote in votes if vote.payload[3][0] in (2, 3)]
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -40,10 +40,10 @@
     )
 
 
-@pytest.mark.parametrize("told", [[], [events.ChangeLogClosed("refused", 1)]])
-def test_a_silent_log_keeps_clients_out_for_its_time_only(told: list[events.Event]) -> None:
+@pytest.mark.parametrize("reported", [[], [events.ChangeLogClosed("refused", 1)]])
+def test_a_silent_log_keeps_clients_out_for_its_time_only(reported: list[events.Event]) -> None:
     router = started()
-    assert LISTEN not in router.step(follower.FIRST_EVENT_TIMEOUT - 0.01, told)
+    assert LISTEN not in router.step(follower.FIRST_EVENT_TIMEOUT - 0.01, reported)
     assert LISTEN in router.step(follower.FIRST_EVENT_TIMEOUT, [events.Woken()])
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -26,13 +26,13 @@
 
 
 def request(number: int, cls: str = "lookup", **fields: str) -> bytes:
-    told = {"txn": f"{number:016x}", "limit": "2000", "team": "city", **fields}
-    packed: bytes = msgpack.packb([0, number, cls, [told, b"SELECT n FROM ops_3.t"]])
+    request = {"txn": f"{number:016x}", "limit": "2000", "team": "city", **fields}
+    packed: bytes = msgpack.packb([0, number, cls, [request, b"SELECT n FROM ops_3.t"]])
     return packed
 
 
 def answers(client: socket.socket) -> Iterator[Any]:
-    """What a client is told until its connection ends."""
+    """What a client is answered until its connection ends."""
     unpacker = msgpack.Unpacker()
     while data := client.recv(65536):
         unpacker.feed(data)
@@ -45,11 +45,11 @@
     def __init__(self, folder: Path) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        told = with_changes({"listen": self.address, "changelog": free_address()})
-        for entry in told["known"]["results"][0]["fleet"]["endpoints"]:
+        document = with_changes({"listen": self.address, "changelog": free_address()})
+        for entry in document["known"]["results"][0]["fleet"]["endpoints"]:
             entry["address"] = free_address()
         self.path = folder / "config.json"
-        self.path.write_bytes(orjson.dumps(told))
+        self.path.write_bytes(orjson.dumps(document))
         self.engines = start(str(EXAMPLES / "toy_engines.py"), str(self.path))
         assert first_line(self.engines) == "toy engines: ready\n"
         self.shared = folder / "shared"
@@ -57,7 +57,7 @@
         self.processes: list[subprocess.Popen[str]] = []
 
     def start(self) -> tuple[subprocess.Popen[str], str]:
-        """A process, and where its door is; it takes clients already."""
+        """A process, and where its admin endpoint is; it takes clients already."""
         admin = free_address()
         descriptor = self.listener.fileno()
         log = self.path.with_name(f"log{len(self.processes)}").open("w")
@@ -119,9 +119,9 @@
     silent.sendall(request(4))
     half.sendall(request(1)[20:])
     for client, ids in ((silent, [4]), (half, [1]), (busy, [2, 3])):
-        told = list(answers(client))  # to the end of the connection, which the old one makes
-        assert [message[1] for message in told] == ids
-        assert all(message[2] is None and message[3] for message in told)
+        received = list(answers(client))  # to the end of the connection, which the old one makes
+        assert [message[1] for message in received] == ids
+        assert all(message[2] is None and message[3] for message in received)
     late = connect(fleet.address)  # nobody but the new one is left to take it
     late.sendall(request(5))
     assert next(answers(late))[2] is None
@@ -156,7 +156,7 @@
     assert opened >= 2 and crossed == opened - 1  # each process ends the connection once
 
 
-def test_an_engine_stays_out_through_an_upgrade_whichever_door_was_called(fleet: Fleet) -> None:
+def test_an_engine_stays_out_through_an_upgrade_whichever_endpoint_was_called(fleet: Fleet) -> None:
     (fleet.shared / "grebeproxy-n1.hands").write_bytes(b"half a file")
     old, first = fleet.start()
     assert call(first, "maint-on s-00000001").startswith("ACK")
@@ -176,16 +176,16 @@
     assert third.poll() is None and "out by hand" not in fleet.log(2)
 
 
-def test_the_door_answers_beside_callers_that_say_nothing(fleet: Fleet) -> None:
-    _, door = fleet.start()
-    silent = [connect(door) for _ in range(40)]  # more than are kept
+def test_the_admin_endpoint_answers_beside_callers_that_send_nothing(fleet: Fleet) -> None:
+    _, admin = fleet.start()
+    silent = [connect(admin) for _ in range(40)]  # more than are kept
     for caller in silent[::2]:
         caller.sendall(b"maint-on ")
     began = time.monotonic()
-    assert call(door, "status").startswith("ACK")
-    assert call(door, "standby").startswith("ACK")
+    assert call(admin, "status").startswith("ACK")
+    assert call(admin, "standby").startswith("ACK")
     with connect(fleet.address) as front:
         front.sendall(msgpack.packb([0, 1, "probe", [{}]]))
         assert list(answers(front)) == [[1, 1, None, [False, {}]]]
-    assert call(door, "active").startswith("ACK")
+    assert call(admin, "active").startswith("ACK")
     assert time.monotonic() - began < 1.0
