--- a/grebeproxy/net/follower.py
+++ b/grebeproxy/net/follower.py
@@ -14,12 +14,10 @@
 FRAMES = 1.0  # seconds from one frame to the next, where nothing is new
 MIN_LATENESS, MAX_LATENESS = 0.2, 0.6  # seconds that a frame may be late before it is missed
 BACKOFF, MAX_BACKOFF = 0.05, 0.4
-CONNECT_TIMEOUT = (
-    0.4  # seconds in which a connection is to come up; twice as long after each one that did not
-)
-FIRST_EVENT_TIMEOUT = (
-    0.25  # seconds for which a starting router waits to hear of the engines before it takes clients
-)
+# Seconds in which a connection is to come up; twice as long after each one that did not.
+CONNECT_TIMEOUT = 0.4
+# Seconds for which a starting router waits to hear of the engines before it takes clients.
+FIRST_EVENT_TIMEOUT = 0.25
 
 
 @dataclass(slots=True)
--- a/grebeproxy/net/listener.py
+++ b/grebeproxy/net/listener.py
@@ -1,7 +1,7 @@
-"""A listening socket: takes connections a few at a time and hands each to a protocol.
+"""A listening socket: takes connections a few at a time and gives each a protocol.
 
 The loop's own server takes all that are there in one go, and when descriptors run out it closes on whoever
-comes: hundreds that say nothing would shut out the usual clients.
+comes: hundreds that send nothing would shut out the usual clients.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 BACKLOG = 1024  # connections that the machine holds until they are taken
 ACCEPTS_PER_TURN = 16  # connections taken before what has come on others is read
 ACCEPT_PAUSE = 0.05  # seconds without descriptors
-DRAIN_TIMEOUT = 0.5  # seconds for what waits when no more is to be heard
+DRAIN_TIMEOUT = 0.5  # seconds for what waits when the socket is being closed
 
 
 def bind(address: tuple[str, int]) -> socket.socket:
-    """A socket bound to ``host, port``, not heard from yet. Raises ``OSError`` where it cannot be had."""
+    """A socket bound to ``host, port``, not listening yet. Raises ``OSError`` where it cannot be had."""
     listener = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -56,7 +56,7 @@
         self._close_by: float | None = None  # it is being closed, and by when it has to be
 
     def open(self) -> None:
-        """Hear from now on. Raises ``OSError`` where another program came first."""
+        """Listen from now on. Raises ``OSError`` where another program came first."""
         if self._socket is not None:
             if not self._shared:
                 self._socket.listen(BACKLOG)
@@ -64,7 +64,7 @@
             self._listen()
 
     def close(self) -> None:
-        """Hear no more. What waits on an own socket is taken first, as fast as descriptors allow.
+        """Listen no more. What waits on an own socket is taken first, as fast as descriptors allow.
 
         What waits on a shared one is left to the other process.
         """
--- a/grebeproxy/net/router/base.py
+++ b/grebeproxy/net/router/base.py
@@ -57,9 +57,8 @@
         self._commands: dict[int, list[ToEngine]] = {}
         self._to_flush: dict[int, Link] = {}  # connections that may have something to write
         self._sockets_read = False  # all that had come on sockets is read in this step
-        self._idle_clients: set[int] = (
-            set()
-        )  # clients that were between requests before the sockets were read last
+        # Clients that were between requests before the sockets were read last.
+        self._idle_clients: set[int] = set()
         self._effects: list[Effect] = []
         self._wake_at: float | None = None
         self._log = follower.Follower(changelog, now)
