--- a/grebeproxy/net/events.py
+++ b/grebeproxy/net/events.py
@@ -162,14 +162,12 @@
     """The router is to finish what it has and end."""
 
 
+ClientEvent = Union[ClientOpened, ClientMessageStarted, ClientMessageReceived, ClientClosed]
 LinkEvent = Union[LinkOpened, LinkClosed, LinkPaused, LinkResumed, LinkAnswerReceived, LinkAnswerStarted]
 AdminEvent = Union[AdminOpened, AdminCallReceived, AdminClosed]
 ChangeLogEvent = Union[ChangeLogOpened, ChangeLogReceived, ChangeLogClosed]
 Event = Union[
-    ClientOpened,
-    ClientMessageStarted,
-    ClientMessageReceived,
-    ClientClosed,
+    ClientEvent,
     LinkEvent,
     ChangeLogEvent,
     AdminEvent,
--- a/grebeproxy/net/router/reducer.py
+++ b/grebeproxy/net/router/reducer.py
@@ -10,30 +10,33 @@
 from grebeproxy.net import admission, follower
 from grebeproxy.net.events import (
     Address,
+    AdminCallReceived,
+    AdminClosed,
+    AdminEvent,
+    AdminOpened,
     AnswerAdmin,
-    ClientMessageStarted,
+    ChangeLogClosed,
+    ChangeLogEvent,
+    ChangeLogOpened,
+    ChangeLogReceived,
     ClientClosed,
-    ClientOpened,
+    ClientEvent,
     ClientMessageReceived,
-    AdminClosed,
-    AdminOpened,
-    AdminCallReceived,
+    ClientMessageStarted,
+    ClientOpened,
     Effect,
     Event,
     Exit,
-    OverridesRead,
+    HalfCloseClient,
+    LinkAnswerReceived,
     LinkAnswerStarted,
     LinkClosed,
     LinkEvent,
     LinkOpened,
     LinkPaused,
     LinkResumed,
-    LinkAnswerReceived,
-    ChangeLogClosed,
-    ChangeLogOpened,
-    ChangeLogReceived,
     LogLine,
-    HalfCloseClient,
+    OverridesRead,
     Reloaded,
     StopRequested,
     Woken,
@@ -142,6 +145,29 @@
             return []
 
     def _on(self, event: Event) -> None:
+        match event:
+            case ClientOpened() | ClientMessageReceived() | ClientMessageStarted() | ClientClosed():
+                self._on_client_event(event)
+            case LinkOpened() | LinkClosed() | LinkPaused() | LinkResumed():
+                self._on_link_event(event)
+            case LinkAnswerReceived() | LinkAnswerStarted():
+                self._on_link_event(event)
+            case ChangeLogOpened() | ChangeLogReceived() | ChangeLogClosed():
+                self._on_change_log_event(event)
+            case AdminOpened() | AdminCallReceived() | AdminClosed():
+                self._on_admin_event(event)
+            case OverridesRead(calls):
+                self._merge_overrides(calls)
+            case Reloaded(address, settings, limits):
+                self._retune(on_sockets(settings), limits)
+                self._move_log(address)
+            case StopRequested():
+                if not self._stopping:
+                    self._stop()
+            case Woken():
+                self._wake_at, self._sockets_read = None, True
+
+    def _on_client_event(self, event: ClientEvent) -> None:
         match event:
             case ClientOpened(conn):
                 self._admit(conn)
@@ -150,28 +176,24 @@
                 if (client := self._clients.get(conn)) is not None and client.half_closed_at is None:
                     self._on_client(client, message)
             case ClientMessageStarted(conn):
-                client = self._clients.get(conn)
-                if client is not None and client.message_started_at is None and client.half_closed_at is None:
-                    client.message_started_at = self.now
+                if (client := self._clients.get(conn)) is not None and client.half_closed_at is None:
+                    if client.message_started_at is None:
+                        client.message_started_at = self.now
             case ClientClosed(conn):
                 self._leave(conn)
-            case (
-                LinkOpened()
-                | LinkClosed()
-                | LinkPaused()
-                | LinkResumed()
-                | LinkAnswerReceived()
-                | LinkAnswerStarted()
-            ):
-                # One that crossed our closing names no connection that is left.
-                if (link := self._links.get(event.link)) is not None:
-                    self._on_link(link, event)
+
+    def _on_change_log_event(self, event: ChangeLogEvent) -> None:
+        """What an earlier connection still reports of itself is left out."""
+        match event:
             case ChangeLogOpened(dial) if dial == self._log.dials:
                 follower.opened(self._log, self.now)
             case ChangeLogReceived(update):
                 self._read_log(update)
             case ChangeLogClosed(reason, dial) if dial == self._log.dials:
                 self._lose_log(reason)
+
+    def _on_admin_event(self, event: AdminEvent) -> None:
+        match event:
             case AdminOpened(conn):
                 self._on_admin_opened(conn)
             case AdminCallReceived(conn, call):
@@ -180,16 +202,11 @@
                     self._effects.append(AnswerAdmin(conn, done, text))
             case AdminClosed(conn):
                 self._admins.pop(conn, None)
-            case OverridesRead(calls):
-                self._merge_overrides(calls)
-            case Reloaded(address, settings, limits):
-                self._retune(on_sockets(settings), limits)
-                self._move_log(address)
-            case StopRequested():
-                if not self._stopping:
-                    self._stop()
-            case Woken():
-                self._wake_at, self._sockets_read = None, True
+
+    def _on_link_event(self, event: LinkEvent) -> None:
+        # One that crossed our closing names no connection that is left.
+        if (link := self._links.get(event.link)) is not None:
+            self._on_link(link, event)
 
     def _on_link(self, link: Link, event: LinkEvent) -> None:
         match event:
