--- a/grebeproxy/net/connections/base.py
+++ b/grebeproxy/net/connections/base.py
@@ -10,7 +10,7 @@
 from grebeproxy.net.lingering import LingeringConnections
 from grebeproxy.net.messages import BadFrameError
 
-MAX_DISCARDED = 256 * 1024  # bytes read and dropped of one that was closed on, beyond which it is cut
+MAX_DISCARDED = 256 * 1024  # bytes read and dropped of a lingering connection, beyond which it is cut
 
 
 class Decoder(Protocol):
@@ -29,7 +29,7 @@
 
     @property
     def lingering(self) -> LingeringConnections:
-        """The connections that were closed on and have not ended."""
+        """The connections that the router has ended and whose peers have not."""
 
     def feed(self, *reported: events.Event) -> None:
         """Let the router take events."""
--- a/grebeproxy/net/lingering.py
+++ b/grebeproxy/net/lingering.py
@@ -1,4 +1,4 @@
-"""Connections that were closed on, and whose peers may still read what they were sent."""
+"""Connections that the router has ended, and whose peers may still read what they were sent."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from grebeproxy.net.timers import Cancellable, LoopTimers
 
-LINGER = 0.5  # seconds in which a peer that is closed on may read what it was sent, and end its side
-MAX_LINGERING = 16  # connections that are closed on and not ended yet, beyond which the oldest is cut
+LINGER_TIMEOUT = 0.5  # seconds in which the peer may read what it was sent, and end its side
+MAX_LINGERING = 16  # lingering connections, beyond which the oldest is cut
 EXIT_GRACE = 2.0  # seconds from the program's end in which what is unsent may still be read
 POLL_INTERVAL = 0.005  # seconds between looks at whether all have ended, or have sent all
 
@@ -24,7 +24,7 @@
 
 
 class LingeringConnections:
-    """Bounds in time and number the connections that were closed on and have not ended."""
+    """Bounds lingering connections in time and number."""
 
     def __init__(self, timers: LoopTimers) -> None:
         self._timers = timers
@@ -36,11 +36,11 @@
         return len(self._connections)
 
     def add(self, connection: Lingering) -> None:
-        """It was closed on: it is cut where its peer does not end it soon, or where too many are."""
+        """The router has ended it: it is cut where its peer does not end it soon, or too many linger."""
         if self._exit_deadline is None and len(self._connections) >= MAX_LINGERING:
             self.cut(next(iter(self._connections)))
         if connection not in self._connections:
-            self._cut_later(connection, LINGER)
+            self._cut_later(connection, LINGER_TIMEOUT)
 
     def _cut_later(self, connection: Lingering, delay: float) -> None:
         self._connections[connection] = self._timers.call_later(delay, lambda: self._time_out(connection))
@@ -54,12 +54,12 @@
             self.cut(connection)
 
     def cut(self, connection: Lingering) -> None:
-        """It may linger no more."""
+        """End one at once."""
         self.discard(connection)
         connection.abort()
 
     def discard(self, connection: Lingering) -> None:
-        """It has ended."""
+        """One has ended by itself."""
         if (timer := self._connections.pop(connection, None)) is not None:
             timer.cancel()
 
--- a/grebeproxy/net/runtime.py
+++ b/grebeproxy/net/runtime.py
@@ -99,7 +99,7 @@
         self._limited_log.write(text)
 
     def report_shortage(self, text: str) -> None:
-        """This machine lacks something: those that are closed on give up what they hold at once."""
+        """This machine lacks something: lingering connections give up what they hold at once."""
         self.log_limited(text)
         self.lingering.cut_all()
 
@@ -107,7 +107,7 @@
 
     async def serve(self) -> None:
         """Serve until asked to stop and all is answered. Raises ``OSError`` where an address is taken."""
-        # Bound at once, so that an address that cannot be had ends the start; heard from when it is time.
+        # Bound at once, so that an address that cannot be had ends the start; listened on when it is time.
         self._listener = self._bind()
         if self.config.admin is not None:
             self._admin_listener = Listener(
