--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -27,7 +27,7 @@
 
 NAMES = st.text(st.characters(codec="utf-8"), min_size=1, max_size=8)
 NUMBERS = st.integers(0, MAX_NUMBER)
-FACTS_PER_MESSAGE = st.builds(
+FACTS = st.builds(
     Fact,
     NAMES,
     st.tuples(st.from_regex(r"[0-9a-f.:]{1,15}", fullmatch=True), st.integers(1, 65535)),
@@ -39,11 +39,11 @@
 MESSAGES = st.builds(
     Message,
     st.sampled_from(Kind),
-    FACTS_PER_MESSAGE,
+    FACTS,
     NUMBERS,
     st.one_of(st.just(""), NAMES),
     NUMBERS,
-    st.lists(FACTS_PER_MESSAGE, max_size=8).map(tuple),
+    st.lists(FACTS, max_size=8).map(tuple),
 )
 KEY = b"a key of the fleet"
 
