--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -14,9 +14,9 @@
 from grebeproxy.membership.model import Fact, Kind, Message, State
 from grebeproxy.membership.wire import (
     DIGEST,
-    MOST_BYTES,
-    MOST_FACTS,
-    MOST_NUMBER,
+    MAX_BYTES,
+    MAX_FACTS,
+    MAX_NUMBER,
     WINDOW,
     Sealed,
     Window,
@@ -26,7 +26,7 @@
 )
 
 NAMES = st.text(st.characters(codec="utf-8"), min_size=1, max_size=8)
-NUMBERS = st.integers(0, MOST_NUMBER)
+NUMBERS = st.integers(0, MAX_NUMBER)
 FACTS = st.builds(
     Fact,
     NAMES,
@@ -56,7 +56,7 @@
 def test_a_message_is_read_as_it_was_written_and_fits_a_packet(message: Message) -> None:
     one, other = pair()
     packet = one.seal(packed(message))
-    assert len(packet) <= MOST_BYTES
+    assert len(packet) <= MAX_BYTES
     assert unpacked(other.open(packet)) == message
     # A second reading, by hand: what is on the wire is what the page says.
     instance, number, mark, payload = msgpack.unpackb(packet[1 + DIGEST :])
@@ -79,7 +79,7 @@
             other.open(spoilt)
 
 
-@given(st.binary(max_size=MOST_BYTES + 1))
+@given(st.binary(max_size=MAX_BYTES + 1))
 def test_noise_is_not_taken(noise: bytes) -> None:
     with pytest.raises(WireError):
         pair()[1].open(noise)
@@ -113,7 +113,7 @@
 def test_a_field_that_cannot_be_is_told_of_whichever_it_is(message: Message, data: st.DataObject) -> None:
     told = packed(message)
     at = data.draw(st.integers(0, 5))
-    told[at] = data.draw(st.sampled_from([None, -1, 2.5, "x" * 33, {}, b"", [[]] * (MOST_FACTS + 1)]))
+    told[at] = data.draw(st.sampled_from([None, -1, 2.5, "x" * 33, {}, b"", [[]] * (MAX_FACTS + 1)]))
     with pytest.raises(WireError):
         unpacked(told)
 
