--- a/grebeproxy/membership/wire.py
+++ b/grebeproxy/membership/wire.py
@@ -118,7 +118,9 @@
     """The message in a payload. Raises ``WireError`` for one that cannot be."""
     try:
         kind, sender, number, target, digest, facts = payload[:6]  # type: ignore[index]
-        if len(facts) > MAX_FACTS or not _natural(number) or not _natural(digest):
+        if not isinstance(facts, list) or len(facts) > MAX_FACTS:
+            raise WireError("not understood")
+        if not _natural(number) or not _natural(digest):
             raise WireError("not understood")
         return Message(
             Kind(kind),
--- a/grebeproxy/net/router/base.py
+++ b/grebeproxy/net/router/base.py
@@ -50,6 +50,7 @@
         self._links: dict[int, Link] = {}
         self._engine_links: dict[str, list[Link]] = {}
         self._places: dict[str, Place] = {}
+        self._engine_at: dict[Address, str] = {}  # the engine that was last listed at an address
         self._pending: list[api.Event] = []
         self._next_round = now
         self._timers: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
--- a/grebeproxy/net/router/discovery.py
+++ b/grebeproxy/net/router/discovery.py
@@ -69,12 +69,12 @@
             if entry.state is not api.EngineState.GONE:
                 # Guards against an engine that gets the address of one that has gone: a connection made for
                 # the old one must not carry anything for it.
-                for other, place in list(self._places.items()):
-                    if other != entry.id and place.address == address:
-                        self._retire(other, drop=True)
-                        self._places.pop(other, None)
+                other = self._engine_at.get(address, entry.id)
+                if other != entry.id:
+                    self._retire(other, drop=True)
+                    self._forget_place(other)
             old = self._places.get(entry.id)
-            self._places[entry.id] = Place(address, entry.started, entry.state is api.EngineState.GONE)
+            self._set_place(entry.id, Place(address, entry.started, entry.state is api.EngineState.GONE))
             if entry.state is not api.EngineState.UP:
                 self._retire(entry.id)
                 self._clear(entry.id)
--- a/grebeproxy/net/router/links.py
+++ b/grebeproxy/net/router/links.py
@@ -5,7 +5,7 @@
 from grebeproxy.net.events import CloseLink, LogLine, OpenLink, Write
 from grebeproxy.net.messages import Run, ToEngine
 from grebeproxy.net.router.answers import Answers
-from grebeproxy.net.router.records import Attempt, Link
+from grebeproxy.net.router.records import Attempt, Link, Place
 from grebeproxy.policy import interface as api
 
 SETTLE = 0.020  # a stop is on its way so long before its attempt counts as ended
@@ -153,12 +153,26 @@
                 self._detach(attempt)
                 self._at(self.now + SETTLE, self._end, attempt, api.Outcome.RESET)
 
+    def _set_place(self, engine: str, place: Place) -> None:
+        """An engine listens there from now on."""
+        self._forget_place(engine)
+        self._places[engine] = place
+        # Guards the engine that has the address now against news of one that had it before.
+        if not place.gone or place.address not in self._engine_at:
+            self._engine_at[place.address] = engine
+
+    def _forget_place(self, engine: str) -> None:
+        """Nothing is known of where an engine listens any more."""
+        place = self._places.pop(engine, None)
+        if place is not None and self._engine_at.get(place.address) == engine:
+            del self._engine_at[place.address]
+
     def _clear(self, engine: str) -> None:
         """Guards the memory: engines come under ever new ids, and nothing is to stay of those that went."""
         if not self._engine_links.get(engine):
             self._engine_links.pop(engine, None)
             if engine in self._places and self._places[engine].gone:
-                del self._places[engine]
+                self._forget_place(engine)
 
     def _retire(self, engine: str, drop: bool = False) -> None:
         for link in list(self._engine_links.get(engine, ())):
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -75,3 +75,50 @@
                 await asyncio.wait_for(serving, 10.0)
 
     asyncio.run(start())
+
+
+def listening() -> Router:
+    """A router whose change log is up."""
+    router = started()
+    router.step(0.005, [events.ChangeLogOpened(1)])
+    return router
+
+
+def test_a_change_of_a_long_list_looks_at_no_engine_but_its_own(monkeypatch: pytest.MonkeyPatch) -> None:
+    router = listening()
+    entries = tuple(api.Engine(f"s-{n:08x}", "typ-a") for n in range(500))
+    addresses = {entry.id: ("127.0.0.1", 9000 + n) for n, entry in enumerate(entries)}
+    whole = ChangeLogUpdate(1, api.EngineList(api.ListKind.FULL, entries), addresses)
+    router.step(0.01, [events.ChangeLogReceived(whole)])
+    looked: list[str] = []
+    monkeypatch.setattr(router, "_set_place", lambda engine, place: looked.append(engine))
+    monkeypatch.setattr(router, "_forget_place", lambda engine: looked.append(engine))
+    moved = ChangeLogUpdate(
+        2,
+        api.EngineList(api.ListKind.CHANGES, (api.Engine("s-new", "typ-a"),)),
+        {"s-new": ("127.0.0.1", 9007)},
+    )
+    router.step(0.02, [events.ChangeLogReceived(moved)])
+    assert looked == ["s-00000007", "s-new"]  # the one that had its address is dropped
+
+
+def test_an_address_is_the_latest_engines_whatever_is_heard_of_earlier_ones() -> None:
+    router = listening()
+
+    def tell(seq: int, engine: str, state: api.EngineState, port: int) -> None:
+        change = api.EngineList(
+            api.ListKind.CHANGES if seq > 1 else api.ListKind.FULL,
+            (api.Engine(engine, "typ-a", state=state),),
+        )
+        router.step(
+            seq / 100, [events.ChangeLogReceived(ChangeLogUpdate(seq, change, {engine: ("127.0.0.1", port)}))]
+        )
+
+    tell(1, "s-a", api.EngineState.UP, 9001)
+    tell(2, "s-b", api.EngineState.UP, 9001)
+    tell(3, "s-a", api.EngineState.GONE, 9001)
+    tell(4, "s-c", api.EngineState.UP, 9001)
+    assert set(router._places) == {"s-c"} and router._engine_at == {("127.0.0.1", 9001): "s-c"}
+    tell(5, "s-c", api.EngineState.UP, 9002)
+    tell(6, "s-d", api.EngineState.UP, 9001)
+    assert set(router._places) == {"s-c", "s-d"} and len(router._engine_at) == 2
