--- /dev/null
+++ b/grebeproxy/lab/subsets/fleet.py
@@ -0,0 +1,129 @@
+"""The simulated fleet: engines with random identities, routers with numbers, and the zones of both."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+
+import numpy as np
+from numpy.typing import NDArray
+
+Integers = NDArray[np.int64]
+Keys = NDArray[np.uint64]
+Floats = NDArray[np.float64]
+Mask = NDArray[np.bool_]
+
+SMALLEST_SUBSET = 16  # engines; the product's NEAR
+ENGINES_PER_PART = (
+    3.0  # a subset has at least so many times a router's part of the engines; the product's ROOMY
+)
+LARGEST_PART = 8.0  # times the mean traffic that a router takes itself to have at most
+RACK = 40  # engines
+GROWTH = 0.1  # of the routers, which come or go at once
+GOLDEN_RATIO = 0.6180339887498949
+
+
+@dataclass(frozen=True, slots=True)
+class Engines:
+    """Engines by their number in the simulation; ``key`` is the hash of an engine's id."""
+
+    number: Integers
+    key: Keys
+    zone: Integers
+
+    def __len__(self) -> int:
+        """How many there are."""
+        return len(self.number)
+
+    def where(self, mask: Mask) -> Engines:
+        """The engines for which the mask holds."""
+        return Engines(self.number[mask], self.key[mask], self.zone[mask])
+
+
+@dataclass(frozen=True, slots=True)
+class Routers:
+    """Routers by number; ``place`` of ``count`` is where each takes itself to be in the order of numbers."""
+
+    number: Integers
+    zone: Integers
+    place: Integers
+    count: Integers
+
+    def __len__(self) -> int:
+        """How many there are."""
+        return len(self.number)
+
+    def where(self, mask: Mask) -> Routers:
+        """The routers for which the mask holds, with the places that they have among all."""
+        return Routers(self.number[mask], self.zone[mask], self.place[mask], self.count[mask])
+
+    def of_zone(self, zone: int) -> Routers:
+        """The routers of a zone, with their places among just these, as if each knew the zones of all."""
+        routers = self.where(self.zone == zone)
+        of_all = len(routers) / max(1, len(self))
+        count = np.maximum(len(routers), np.rint(routers.count * of_all).astype(np.int64))
+        return replace(routers, place=np.arange(len(routers), dtype=np.int64), count=count)
+
+
+@dataclass(frozen=True, slots=True)
+class Fleet:
+    """All engines and routers of one moment; ``universe`` counts the engines that there ever were."""
+
+    engines: Engines
+    routers: Routers
+    zones: int
+    universe: int
+
+    def without(self, lost: Mask) -> Fleet:
+        """The fleet whose list lacks some engines, given by a mask over its engines."""
+        return replace(self, engines=self.engines.where(~lost))
+
+    def own(self, part: Floats | None = None) -> Integers:
+        """Engines in each router's subset, for routers whose traffic is ``part`` times the mean."""
+        base = max(SMALLEST_SUBSET, round(ENGINES_PER_PART * len(self.engines) / len(self.routers)))
+        parts = np.ones(len(self.routers)) if part is None else np.clip(part, 1.0, LARGEST_PART)
+        return np.minimum(np.rint(base * parts).astype(np.int64), len(self.engines))
+
+
+def make_fleet(routers: int, engines: int, zones: int, rng: np.random.Generator) -> Fleet:
+    """Engines with random identities, dealt to the zones at random in even numbers; so are the routers."""
+    keys = rng.integers(0, 2**64, engines, dtype=np.uint64)
+    engine_zones = rng.permutation(np.arange(engines, dtype=np.int64) % zones)
+    numbers = np.arange(routers, dtype=np.int64)
+    return Fleet(
+        Engines(np.arange(engines, dtype=np.int64), keys, engine_zones),
+        Routers(
+            numbers, _zones_in_blocks(routers, zones, rng), numbers, np.full(routers, routers, dtype=np.int64)
+        ),
+        zones,
+        engines,
+    )
+
+
+def with_routers(fleet: Fleet, count: int) -> Fleet:
+    """The fleet with the first ``count`` of its routers, all of which know that count."""
+    routers = fleet.routers.where(fleet.routers.number < count)
+    return replace(fleet, routers=replace(routers, count=np.full(len(routers), count, dtype=np.int64)))
+
+
+def _zones_in_blocks(routers: int, zones: int, rng: np.random.Generator) -> Integers:
+    """Each block of consecutive numbers, as many as there are zones, has one router of each zone."""
+    blocks = [rng.permutation(zones) for _ in range(-(-routers // zones))]
+    return np.concatenate(blocks)[:routers].astype(np.int64)
+
+
+def mix(values: Keys) -> Keys:
+    """A hash of 64-bit values: the finalizer of splitmix64, which stands here for the product's blake2b."""
+    with np.errstate(over="ignore"):
+        values = (values ^ (values >> np.uint64(30))) * np.uint64(0xBF58476D1CE4E5B9)
+        values = (values ^ (values >> np.uint64(27))) * np.uint64(0x94D049BB133111EB)
+    return values ^ (values >> np.uint64(31))
+
+
+def positions(keys: Keys) -> Floats:
+    """Where hashes lie on a circle from 0 to 1."""
+    return (keys >> np.uint64(11)).astype(np.float64) / float(2**53)
+
+
+def router_positions(numbers: Integers) -> Floats:
+    """Where routers lie on the circle: blocks and strides of numbers are spread evenly."""
+    return (numbers * GOLDEN_RATIO % 1.0).astype(np.float64)
