--- a/grebeproxy/lab/subsets/measures.py
+++ b/grebeproxy/lab/subsets/measures.py
@@ -101,6 +101,21 @@
     return result
 
 
+def connections(scheme: Scheme, fleet: Fleet, rng: np.random.Generator) -> Values:
+    """Connections at engines and at routers when busier routers have wider windows."""
+    result: Values = {}
+    for name, traffic in traffics(len(fleet.routers), rng).items():
+        pairs = subset_pairs(scheme, fleet, traffic)
+        at_engine = pairs.sharers()[fleet.engines.number]
+        at_router = np.bincount(pairs.router, minlength=len(fleet.routers))
+        result |= {
+            f"connections.{name}_engine_mean": float(at_engine.mean()),
+            f"connections.{name}_engine_max": float(at_engine.max()),
+            f"connections.{name}_router_max": float(at_router.max()),
+        }
+    return result
+
+
 def traffics(routers: int, rng: np.random.Generator) -> dict[str, Floats]:
     """Traffic of each router over the mean."""
     lognormal = rng.lognormal(0.0, LOGNORMAL_SIGMA, routers)
@@ -418,7 +433,7 @@
 def measure(scheme: Scheme, fleet: Fleet, seed: int) -> Values:
     """All that is measured of a scheme on one fleet; of equal seeds losses and traffic are the same."""
     values = counts(scheme, fleet)
-    for part in (loads, movement, usable_after, zone_lost):
+    for part in (connections, loads, movement, usable_after, zone_lost):
         values |= part(scheme, fleet, np.random.default_rng([seed, 1]))
     if isinstance(scheme, PointCircle):
         values |= cold_budget(scheme, fleet, np.random.default_rng([seed, 2]))
