--- a/grebeproxy/lab/subsets/command.py
+++ b/grebeproxy/lab/subsets/command.py
@@ -83,7 +83,28 @@
         return sizes
 
 
-@click.command("subsets", context_settings={"help_option_names": ["-h", "--help"]})
+class UsageInOneLine(click.Command):
+    """A command that tells of arguments that cannot be used in one line."""
+
+    def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
+        """Parse, and check what depends on several options."""
+        try:
+            left = super().parse_args(ctx, args)
+            if not ctx.resilient_parsing:
+                _check_sizes(**{name: ctx.params[name] for name in ("routers", "engines", "zones")})
+        except click.UsageError as error:
+            raise click.UsageError(" ".join(error.format_message().split())) from None
+        return left
+
+
+def _check_sizes(routers: tuple[int, ...], engines: tuple[int, ...], zones: int) -> None:
+    if len(routers) != len(engines):
+        raise click.UsageError("--routers and --engines must list as many sizes")
+    if min(engines) < 2 * zones:
+        raise click.UsageError("--engines must be at least twice --zones")
+
+
+@click.command("subsets", cls=UsageInOneLine, context_settings={"help_option_names": ["-h", "--help"]})
 @click.option("--routers", type=Sizes(), default=ROUTERS, show_default=True, help="Routers of each size.")
 @click.option("--engines", type=Sizes(), default=ENGINES, show_default=True, help="Engines of each size.")
 @click.option("--zones", type=click.IntRange(1, 100), default=6, show_default=True)
@@ -109,10 +130,6 @@
     path: Path | None,
 ) -> None:
     """Simulate ways to give each router a subset of the engines."""
-    if len(routers) != len(engines):
-        raise click.UsageError("--routers and --engines must list as many sizes")
-    if min(engines) < zones:
-        raise click.UsageError("--engines must not be below --zones")
     schemes = [scheme for scheme in SCHEMES if not names or scheme.name in names]
     points = [simulate(schemes, *size, zones, seeds) for size in zip(routers, engines, strict=True)]
     for point in points:
--- /dev/null
+++ b/tests/test_lab_subsets.py
@@ -0,0 +1,247 @@
+"""Ways to give routers subsets of the engines: what each promises, and the command that compares them."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from pathlib import Path
+
+import numpy as np
+import pytest
+
+from grebeproxy.lab.record import load_record
+from grebeproxy.lab.subsets.cost import ONE_ROUTER, CircleRouter
+from grebeproxy.lab.subsets.fleet import Fleet, make_fleet, with_routers
+from grebeproxy.lab.subsets.measures import (
+    Pairs,
+    cold_budget,
+    fleet_pairs,
+    load_of,
+    measure,
+    moved,
+    shares,
+    shifted,
+    subset_pairs,
+    traffics,
+    zone_pairs,
+)
+from grebeproxy.lab.subsets.schemes import NONE, SCHEMES, PointCircle, RankWindows, Rounds, Scheme
+
+CIRCLES = [scheme for scheme in SCHEMES if isinstance(scheme, PointCircle)]
+SIZES = [(24, 40, 6), (7, 19, 1), (200, 80, 6), (60, 400, 3)]
+
+
+def fleet_of(routers: int, engines: int, zones: int = 1, seed: int = 1) -> Fleet:
+    return make_fleet(routers, engines, zones, np.random.default_rng(seed))
+
+
+def engines_by_router(pairs: Pairs) -> dict[int, set[int]]:
+    found: dict[int, set[int]] = {}
+    for router, engine in zip(pairs.router.tolist(), pairs.engine.tolist(), strict=True):
+        found.setdefault(router, set()).add(engine)
+    return found
+
+
+@pytest.mark.parametrize("scheme", SCHEMES, ids=lambda scheme: scheme.name)
+@pytest.mark.parametrize("size", SIZES)
+def test_a_window_has_as_many_engines_as_it_is_to_have_and_none_twice(
+    scheme: Scheme, size: tuple[int, int, int]
+) -> None:
+    fleet = fleet_of(*size)
+    own = fleet.own(traffics(len(fleet.routers), np.random.default_rng(1))["lognormal"])
+    rows = scheme.windows(fleet.engines, fleet.routers, own)
+    assert len(rows) == len(fleet.routers)
+    for row, wanted in zip(rows, own, strict=True):
+        engines = row[row != NONE]
+        assert len(set(engines.tolist())) == len(engines) <= wanted
+        assert set(engines.tolist()) <= set(fleet.engines.number.tolist())
+        # An engine with several points may stand in a window twice; the whole list is had whole.
+        if getattr(scheme, "points", 1) == 1 or wanted == len(fleet.engines):
+            assert len(engines) == wanted
+
+
+@pytest.mark.parametrize("scheme", SCHEMES, ids=lambda scheme: scheme.name)
+def test_subsets_follow_from_number_count_and_list_alone(scheme: Scheme) -> None:
+    """So a restart moves nothing, and an engine that returns is had by those that had it."""
+    fleet = fleet_of(60, 400, 3)
+    shuffled = np.random.default_rng(5).permutation(400)
+    engines = fleet.engines
+    relisted = type(engines)(engines.number[shuffled], engines.key[shuffled], engines.zone[shuffled])
+    own = fleet.own()
+    first = Pairs.of(fleet, scheme.windows(engines, fleet.routers, own))
+    assert moved(first, Pairs.of(fleet, scheme.windows(relisted, fleet.routers, own))) == 0.0
+
+
+@pytest.mark.parametrize("scheme", CIRCLES, ids=lambda scheme: scheme.name)
+def test_only_routers_that_had_an_engine_are_touched_when_it_goes(scheme: PointCircle) -> None:
+    fleet = fleet_of(60, 400, 3)
+    lost = np.zeros(400, dtype=np.bool_)
+    lost[17] = True
+    before = engines_by_router(fleet_pairs(scheme, fleet))
+    after = engines_by_router(fleet_pairs(scheme, fleet.without(lost)))
+    assert any(17 in engines for engines in before.values())
+    for router, engines in before.items():
+        if 17 not in engines:
+            assert after[router] == engines
+        else:
+            assert engines - after[router] == {17}
+            assert len(after[router] - engines) <= scheme.points
+
+
+@pytest.mark.parametrize("scheme", CIRCLES, ids=lambda scheme: scheme.name)
+def test_the_count_of_routers_moves_nothing_on_the_circle(scheme: PointCircle) -> None:
+    fleet = fleet_of(600, 800, 6)  # both counts are above those from which windows are wider
+    for count in (599, 540):
+        fewer = engines_by_router(subset_pairs(scheme, with_routers(fleet, count)))
+        whole = engines_by_router(subset_pairs(scheme, fleet))
+        assert fewer == {router: engines for router, engines in whole.items() if router < count}
+
+
+def test_rank_windows_move_with_the_count_of_routers() -> None:
+    """What speaks against them: the measure of movement is able to see it."""
+    fleet = fleet_of(600, 800, 6)
+    before = subset_pairs(RankWindows(), fleet)
+    after = subset_pairs(RankWindows(), with_routers(fleet, 540))
+    assert moved(before.where(before.router < 540), after) > 0.5
+
+
+def test_rank_windows_and_rounds_give_all_engines_equally_many_routers() -> None:
+    fleet = fleet_of(600, 800)
+    for scheme in (RankWindows(), Rounds()):
+        assert set(fleet_pairs(scheme, fleet).sharers().tolist()) == {12}
+
+
+@pytest.mark.parametrize("scheme", CIRCLES, ids=lambda scheme: scheme.name)
+@pytest.mark.parametrize("size", SIZES)
+@pytest.mark.parametrize("own", [1, 16, 40, 1000])
+def test_sharers_and_ranks_follow_from_the_list_alone(
+    scheme: PointCircle, size: tuple[int, int, int], own: int
+) -> None:
+    """What a router works out from the positions is what the windows of all routers come to."""
+    fleet = fleet_of(*size)
+    own = min(own, len(fleet.engines))
+    sharers = scheme.sharers(fleet.engines, fleet.routers, own)
+    wide = np.full(len(fleet.routers), own, dtype=np.int64)
+    pairs = Pairs.of(fleet, scheme.windows(fleet.engines, fleet.routers, wide))
+    told = set(zip(fleet.engines.number[sharers.engine].tolist(), sharers.router.tolist(), strict=True))
+    assert told == set(zip(pairs.engine.tolist(), pairs.router.tolist(), strict=True))
+    for place, count in enumerate(sharers.count.tolist()):
+        ranks = sharers.rank[sharers.engine == place].tolist()
+        assert len(set(ranks)) == len(ranks) and set(ranks) <= set(range(count))
+        if scheme.points == 1 or own == len(fleet.engines):
+            assert len(ranks) == count
+
+
+@pytest.mark.parametrize("whole", [0, 1, 5, 12, 37])
+@pytest.mark.parametrize("turn", [0, 1, 7, 2**32 - 1])
+def test_parts_of_a_cold_engine_sum_to_the_whole_or_less(whole: int, turn: int) -> None:
+    fleet = fleet_of(600, 800)
+    for scheme in CIRCLES:
+        sharers = scheme.sharers(fleet.engines, fleet.routers, 16)
+        given = np.bincount(sharers.engine, weights=sharers.parts(whole, turn), minlength=800)
+        shared = sharers.count > 0
+        assert given.max() <= whole
+        if scheme.points == 1:
+            assert (given[shared] == whole).all()
+
+
+def test_counting_sharers_by_ones_own_width_gives_out_more_than_the_whole() -> None:
+    """The fault that dealing by the base window alone mends: both are measured, and only one is above 1."""
+    values = cold_budget(PointCircle(points=4), fleet_of(600, 800, 6), np.random.default_rng(1))
+    assert values["cold.base_worst"] <= 1.0 < values["cold.own_lognormal_worst"]
+    assert values["cold.own_lognormal_worst"] <= 1.0 + np.log(8.0)
+    assert values["cold.counts_tenth_worst"] > 1.0
+
+
+@pytest.mark.parametrize("pairs_of", [fleet_pairs, zone_pairs, subset_pairs])
+def test_shares_keep_each_routers_traffic_and_shifting_evens_the_load(pairs_of: object) -> None:
+    fleet = fleet_of(600, 800, 6)
+    traffic = traffics(600, np.random.default_rng(1))["heavy"]
+    assert callable(pairs_of)
+    pairs: Pairs = pairs_of(PointCircle(points=4), fleet)
+    even = shares(pairs, np.ones(len(pairs.router)), traffic)
+    after = shifted(pairs, even, traffic, 5)
+    for share in (even, after):
+        assert np.allclose(np.bincount(pairs.router, weights=share), traffic)
+    assert load_of(pairs, after).max() < 0.8 * load_of(pairs, even).max()
+
+
+def test_four_points_are_evened_better_than_one() -> None:
+    """The finding on which the choice rests, at a quarter of the target's size."""
+    fleet = fleet_of(600, 800, 6)
+    one, four = (measure(PointCircle(points=points), fleet, 1) for points in (1, 4))
+    for name in ("blind.load_equal_weighted", "blind.load_equal_shift_few", "zone.load_equal_shift_few"):
+        assert four[name] < one[name] - 0.1
+    assert four["moved.rack_over_least"] == one["moved.rack_over_least"] == 1.0
+
+
+@pytest.mark.parametrize("name", sorted(ONE_ROUTER))
+def test_one_router_comes_to_the_same_by_changes_as_from_the_whole_list(name: str) -> None:
+    ids = [f"s-{number:08x}" for number in range(120)]
+    build = ONE_ROUTER[name]
+    changed = build(ids[:100], 11, 40, 8)
+    for engine in ids[100:]:
+        changed.add(engine)
+    for engine in ids[:20]:
+        changed.remove(engine)
+    subset = changed.subset()
+    assert subset == build(ids[20:], 11, 40, 8).subset()
+    assert 0 < len(subset) == len(set(subset)) <= 8 and set(subset) <= set(ids[20:])
+
+
+@pytest.mark.parametrize("points", [1, 4])
+def test_one_router_counts_the_sharers_of_an_engine(points: int) -> None:
+    ids = [f"s-{number:08x}" for number in range(120)]
+    routers = [CircleRouter(ids, router, 40, 8, points) for router in range(40)]
+    for engine in ids[:30]:
+        having = sum(engine in router.subset() for router in routers)
+        counted = routers[0].sharers(engine)
+        assert counted == having if points == 1 else counted >= having
+
+
+def run_lab(*words: str) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "grebeproxy.lab", "subsets", *words]
+    return subprocess.run(command, capture_output=True, text=True, timeout=60)
+
+
+@pytest.mark.parametrize(
+    "words",
+    [
+        ["--routers", "10,x"],
+        ["--routers", "10,20", "--engines", "40"],
+        ["--engines", "0"],
+        ["--seeds", "0"],
+        ["--zones", "50", "--routers", "10", "--engines", "40"],
+        ["--scheme", "none"],
+        ["--unknown"],
+    ],
+)
+def test_arguments_that_cannot_be_used_end_it_with_one_line(words: list[str]) -> None:
+    result = run_lab(*words)
+    assert result.returncode == 2 and result.stdout == ""
+    assert result.stderr.count("\n") == 1 and result.stderr.startswith("Error: ")
+
+
+def test_a_run_prints_a_table_and_writes_a_record(tmp_path: Path) -> None:
+    path = tmp_path / "subsets.json"
+    words = [
+        "--routers",
+        "24,60",
+        "--engines",
+        "40,80",
+        "--zones",
+        "2",
+        "--seeds",
+        "2",
+        "--scheme",
+        "circle-4",
+    ]
+    result = run_lab(*words, "--json", str(path))
+    assert result.returncode == 0, result.stderr
+    record = load_record(path)
+    assert [point.sizes["routers"] for point in record.points] == [24, 60]
+    for point in record.points:
+        shown = f"{point.values['circle-4.blind.load_equal_weighted']:.4g}"
+        assert shown in result.stdout
+        assert point.values["circle-4.moved.restart"] == 0.0
+        assert point.values["circle-4.cpu_us.scratch"] > point.values["circle-4.cpu_us.one_change"] > 0.0
