--- a/grebeproxy/lab/subsets/schemes.py
+++ b/grebeproxy/lab/subsets/schemes.py
@@ -168,15 +168,23 @@
 
 @dataclass(frozen=True)
 class RankWindows:
-    """Engines in the order of their hash; the window of router i of n starts at i/n of the list."""
+    """Engines in the order of their hash; the window of router i of n starts at i/n of the list.
+
+    ``golden``: it starts at the fraction of i times the golden ratio instead, whatever the count of routers.
+    """
 
     name: str = "rank"
+    golden: bool = False
     counts_sharers: bool = True
 
     def windows(self, engines: Engines, routers: Routers, own: Integers) -> Integers:
         """See ``Scheme``."""
         order = engines.number[np.argsort(engines.key)]
-        return _rows(order, routers.place * len(engines) // routers.count, own)
+        if self.golden:
+            starts = (router_positions(routers.number) * len(engines)).astype(np.int64)
+        else:
+            starts = routers.place * len(engines) // routers.count
+        return _rows(order, starts, own)
 
 
 @dataclass(frozen=True)
@@ -239,6 +247,7 @@
     Rounds(),
     Rounds("rounds-2k", power_of_two=True),
     RankWindows(),
+    RankWindows("rank-golden", golden=True),
     PointCircle(),
     PointCircle("circle-4", points=4),
     PointCircle("circle-8", points=8),
