--- a/grebeproxy/lab/subsets/measures.py
+++ b/grebeproxy/lab/subsets/measures.py
@@ -381,6 +381,24 @@
     return result
 
 
+def cold_budget_between_lists(scheme: Scheme, fleet: Fleet, rng: np.random.Generator) -> Values:
+    """The same while every second router has not heard yet that engines went; each counts by its own list."""
+    result: Values = {}
+    for name, mask in losses(fleet, rng).items():
+        rest = fleet.without(mask)
+        given = np.zeros(fleet.universe)
+        for listed, has_heard in ((fleet, 0), (rest, 1)):
+            pairs = fleet_pairs(scheme, listed)
+            part = 1.0 / np.maximum(pairs.sharers()[pairs.engine], 1)
+            given += load_of(pairs, np.where(pairs.router % 2 == has_heard, part, 0.0))
+        left = given[rest.engines.number]
+        result |= {
+            f"cold.lists_{name}_worst": float(left.max()),
+            f"cold.lists_{name}_mean": float(left.mean()),
+        }
+    return result
+
+
 def _parts_over_whole(sharers: Sharers, whole: int, turn: int) -> Floats:
     parts = sharers.parts(whole, int(turn))
     return np.bincount(sharers.engine, weights=parts, minlength=len(sharers.count)).astype(np.float64) / whole
@@ -435,6 +453,8 @@
     values = counts(scheme, fleet)
     for part in (connections, loads, movement, usable_after, zone_lost):
         values |= part(scheme, fleet, np.random.default_rng([seed, 1]))
+    if scheme.counts_sharers:
+        values |= cold_budget_between_lists(scheme, fleet, np.random.default_rng([seed, 1]))
     if isinstance(scheme, PointCircle):
         values |= cold_budget(scheme, fleet, np.random.default_rng([seed, 2]))
     return values
--- a/tests/test_lab_subsets.py
+++ b/tests/test_lab_subsets.py
@@ -15,6 +15,7 @@
 from grebeproxy.lab.subsets.measures import (
     Pairs,
     cold_budget,
+    cold_budget_between_lists,
     fleet_pairs,
     load_of,
     measure,
@@ -153,6 +154,13 @@
     assert values["cold.counts_tenth_worst"] > 1.0
 
 
+def test_while_lists_differ_an_engine_gets_about_its_budget() -> None:
+    for scheme in (RankWindows("rank-golden", golden=True), PointCircle(points=4)):
+        values = cold_budget_between_lists(scheme, fleet_of(600, 800, 6), np.random.default_rng(1))
+        assert 0.9 < values["cold.lists_rack_mean"] < 1.1
+        assert 1.0 <= values["cold.lists_engine_worst"] < 2.0
+
+
 @pytest.mark.parametrize("pairs_of", [fleet_pairs, zone_pairs, subset_pairs])
 def test_shares_keep_each_routers_traffic_and_shifting_evens_the_load(pairs_of: object) -> None:
     fleet = fleet_of(600, 800, 6)
