--- a/grebeproxy/lab/subsets/measures.py
+++ b/grebeproxy/lab/subsets/measures.py
@@ -156,7 +156,7 @@
     """Routers that share an engine if all had windows of a width: a row for each width from 0 on."""
     wide = np.full(len(routers), min(widest, len(engines) - 1), dtype=np.int64)
     rows = scheme.windows(engines, routers, wide)
-    result = np.zeros((widest + 1, universe), dtype=np.int64)
+    result: Integers = np.zeros((widest + 1, universe), dtype=np.int64)
     for column in range(min(widest, rows.shape[1])):
         engine = rows[:, column]
         result[column + 1] = np.bincount(engine[engine != NONE], minlength=universe)
@@ -238,7 +238,7 @@
     lost = {"engine": in_zone[:1], "rack": in_zone[: min(RACK, len(in_zone) // 2)], "zone": in_zone}
     if fleet.zones == 1:
         del lost["zone"]
-    masks = {}
+    masks: dict[str, Mask] = {}
     for name, engines in lost.items():
         masks[name] = np.zeros(len(fleet.engines), dtype=np.bool_)
         masks[name][engines] = True
--- a/tests/test_lab_subsets.py
+++ b/tests/test_lab_subsets.py
@@ -52,10 +52,10 @@
     own = fleet.own(traffics(len(fleet.routers), np.random.default_rng(1))["lognormal"])
     rows = scheme.windows(fleet.engines, fleet.routers, own)
     assert len(rows) == len(fleet.routers)
-    for row, wanted in zip(rows, own, strict=True):
-        engines = row[row != NONE]
-        assert len(set(engines.tolist())) == len(engines) <= wanted
-        assert set(engines.tolist()) <= set(fleet.engines.number.tolist())
+    for row, wanted in zip(rows.tolist(), own.tolist(), strict=True):
+        engines = [engine for engine in row if engine != NONE]
+        assert len(set(engines)) == len(engines) <= wanted
+        assert set(engines) <= set(fleet.engines.number.tolist())
         # An engine with several points may stand in a window twice; the whole list is had whole.
         if getattr(scheme, "points", 1) == 1 or wanted == len(fleet.engines):
             assert len(engines) == wanted
