--- a/tests/test_lab_subsets.py
+++ b/tests/test_lab_subsets.py
@@ -207,6 +207,62 @@
         assert counted == having if points == 1 else counted >= having
 
 
+NOTE_ROWS = {
+    "routers given to an engine, window over all (12 on the mean): least": "blind.sharers_min",
+    "and most": "blind.sharers_max",
+    "equal traffic, parted evenly": "blind.load_equal_even",
+    "the same, 1/K": "blind.load_equal_weighted",
+    "the same, 5 rounds": "blind.load_equal_shift_few",
+    "5% of routers at 5 times, 1/K": "blind.load_heavy_weighted",
+    "5% of routers at 5 times, 5 rounds": "blind.load_heavy_shift_few",
+    "lognormal (sigma 1), 1/K": "blind.load_lognormal_weighted",
+    "lognormal (sigma 1), 5 rounds": "blind.load_lognormal_shift_few",
+    "window of the zone alone, equal traffic, evenly": "zone.load_equal_even",
+    "window of the zone alone, 5 rounds": "zone.load_equal_shift_few",
+    "connections at an engine, both windows: mean": "both.sharers_mean",
+    "connections at an engine, both windows: most": "both.sharers_max",
+    "at a router: mean (most: 32)": "both.router_connections_mean",
+    "lognormal traffic: most at an engine": "connections.lognormal_engine_max",
+    "lognormal traffic: most at a router": "connections.lognormal_router_max",
+    "one engine goes: pairs moved, over the least possible": "moved.engine_over_least",
+    "a rack of 40": "moved.rack_over_least",
+    "a zone": "moved.zone_over_least",
+    "a tenth of the routers goes: moved pairs of the others, of all": "moved.tenth",
+    "half the routers go by a tenth fewer": "moved.counts_differ",
+    "zone lost (below), evenly": "zone_lost.listed_even",
+    "zone lost (below), 5 rounds": "zone_lost.listed_shift_few",
+    "CPU of one router's subset from the whole list, us": "cpu_us.scratch",
+    "CPU after one change, us": "cpu_us.one_change",
+}
+
+
+def test_the_design_note_shows_what_was_recorded() -> None:
+    docs = Path(__file__).parent.parent / "docs"
+    recorded = {
+        name: value
+        for path in sorted((docs / "capacity").glob("subsets-*.json"))
+        if path.stem != "subsets-lists-differ"  # fewer seeds of schemes that have a record of their own
+        for point in load_record(path).points
+        if point.sizes["routers"] == 2400
+        for name, value in point.values.items()
+    }
+    lines = (docs / "SUBSETS.md").read_text().splitlines()
+    table = [[cell.strip() for cell in line.strip("|").split("|")] for line in lines if line.startswith("|")]
+    schemes = next(row[1:] for row in table if row[0] == "" and "rank-golden" in row and len(row) == 10)
+    rows = {row[0]: row[1:] for row in table if len(row) == 10 and row[0]}
+    rows.pop("---")
+    assert rows.keys() == NOTE_ROWS.keys()
+    for label, cells in rows.items():
+        for scheme, cell in zip(schemes, cells, strict=True):
+            value = recorded.get(f"{scheme}.{NOTE_ROWS[label]}")
+            if value is None:
+                assert cell in ("-", "as rank"), (label, scheme)
+            else:
+                shown = cell.replace(",", "")
+                decimals = len(shown.partition(".")[2])
+                assert abs(float(shown) - value) <= 0.5001 * 10**-decimals, (label, scheme, value)
+
+
 def run_lab(*words: str) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "grebeproxy.lab", "subsets", *words]
     return subprocess.run(command, capture_output=True, text=True, timeout=60)
