--- a/grebeproxy/lab/__main__.py
+++ b/grebeproxy/lab/__main__.py
@@ -4,11 +4,17 @@
 
 import click
 
+from grebeproxy.lab.capacity.command import capacity
+from grebeproxy.lab.capacity.measure.command import measure
+
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
     """Measure the project at fleet size, and check the capacity page against the measurements."""
 
 
+main.add_command(capacity)
+main.add_command(measure)
+
 if __name__ == "__main__":
     main()
--- /dev/null
+++ b/grebeproxy/lab/capacity/measure/command.py
@@ -0,0 +1,71 @@
+"""``python -m grebeproxy.lab measure NAME``: take one measurement and write its record."""
+
+from __future__ import annotations
+
+import sys
+from collections.abc import Callable, Sequence
+from pathlib import Path
+
+import click
+
+from grebeproxy.lab.capacity.measure import statement
+from grebeproxy.lab.record import Point, record_now
+
+SIZES_HELP = "Sizes to measure at, with commas."
+Measure = Callable[[tuple[int, ...], int], Sequence[Point]]
+
+
+class Sizes(click.ParamType[tuple[int, ...]]):
+    """Whole numbers above or at zero, with commas between them."""
+
+    name = "sizes"
+
+    def convert(
+        self, value: object, param: click.Parameter | None, ctx: click.Context | None
+    ) -> tuple[int, ...]:
+        """Read them; ends the command where they cannot be read."""
+        if isinstance(value, tuple):
+            return value
+        try:
+            sizes = tuple(int(word) for word in str(value).split(","))
+        except ValueError:
+            self.fail(f"{value!r} is not a list of whole numbers", param, ctx)
+        if min(sizes) < 0:
+            self.fail("sizes are not below zero", param, ctx)
+        return sizes
+
+
+@click.group()
+def measure() -> None:
+    """Take one measurement and write it as a record."""
+
+
+def add(name: str, summary: str, sizes: tuple[int, ...], take: Measure) -> None:
+    """Add a measurement to the ``measure`` command."""
+
+    @measure.command(name, help=summary)
+    @click.option("--sizes", type=Sizes(), default=sizes, help=SIZES_HELP)
+    @click.option("--seed", type=int, default=1, show_default=True)
+    @click.option("--json", "path", type=click.Path(dir_okay=False, path_type=Path), help="Write the record.")
+    @click.option("--note", default="", help="What to tell of the circumstances.")
+    def command(sizes: tuple[int, ...], seed: int, path: Path | None, note: str) -> None:
+        points = tuple(take(sizes, seed))
+        record = record_now(name, f"python -m grebeproxy.lab {' '.join(sys.argv[1:])}", seed, points, note)
+        for point in points:
+            click.echo(_line(point))
+        if path is not None:
+            record.save(path)
+
+
+def _line(point: Point) -> str:
+    sizes = " ".join(f"{name}={value:g}" for name, value in point.sizes.items())
+    values = " ".join(f"{name}={value:.6g}" for name, value in point.values.items())
+    return f"{sizes}: {values}"
+
+
+add(
+    "statement",
+    "CPU of one statement by part, against engines, at 200 and 2,400 routers.",
+    statement.ENGINES,
+    lambda sizes, seed: statement.measure(sizes, seed=seed),
+)
--- /dev/null
+++ b/grebeproxy/lab/capacity/tables.py
@@ -0,0 +1,183 @@
+"""The page's tables."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Sequence
+
+from grebeproxy.lab.capacity.figures import Figure, Figures
+from grebeproxy.lab.capacity.fit import Fit, Model
+from grebeproxy.lab.capacity.numbers import percent, shown, with_unit
+from grebeproxy.lab.capacity.rows import Bound, NumberOrName, Row, Stage
+from grebeproxy.lab.record import Record
+
+FUNCTIONS = {
+    Model.LINEAR: "{axis}",
+    Model.AFFINE: "{axis}",
+    Model.LOG: "ln({axis})",
+    Model.N_LOG_N: "{axis} x ln({axis})",
+    Model.SQUARE: "{axis} squared",
+}
+PATHS = {"statement": "every statement", "control": "every router's control", "other": "other"}
+STAGES = {Stage.BOTH: "", Stage.BEFORE: " (before)", Stage.NOW: " (now)"}
+
+
+def table(head: Sequence[str], lines: Iterable[Sequence[str]]) -> str:
+    """A Markdown table."""
+    rule = ["---"] * len(head)
+    return "\n".join("| " + " | ".join(cells) + " |" for cells in (head, rule, *lines))
+
+
+def role_table(figures: Sequence[Figure]) -> str:
+    """What each row of a role takes at the target, beside its budget and what carries it."""
+    head = ("what", "row", "at the target", "budget", "times budget", "fits", "mechanism")
+    return table(head, (_verdict(figure) for figure in figures))
+
+
+def _verdict(figure: Figure) -> tuple[str, ...]:
+    row = figure.row
+    value = with_unit(figure.value, row.unit)
+    if row.assumption:
+        value += " (assumption)"
+    mechanism = f"**missing**: {row.without}" if row.without else row.mechanism
+    return (row.what, title(row), value, _budget(figure), _times(figure), _fits(figure), mechanism)
+
+
+def title(row: Row) -> str:
+    """A row's title and the stage that it holds for."""
+    return row.title + STAGES[row.stage]
+
+
+def _budget(figure: Figure) -> str:
+    if figure.budget is None:
+        return "none set"
+    return f"{with_unit(figure.budget, figure.row.unit)}: {figure.row.budget_source}"
+
+
+def _times(figure: Figure) -> str:
+    return "-" if figure.times_budget is None else shown(figure.times_budget)
+
+
+def _fits(figure: Figure) -> str:
+    if figure.budget is None:
+        return "-"
+    return "**no**" if figure.over_budget else "yes"
+
+
+def evidence_table(figures: Sequence[Figure]) -> str:
+    """The run, the sizes and the fit behind each row of a role."""
+    head = ("row", "from", "sizes measured", "fit", "residual", "carried")
+    return table(head, (_evidence(figure) for figure in figures))
+
+
+def _evidence(figure: Figure) -> tuple[str, ...]:
+    row = figure.row
+    if figure.fit is None:
+        return (title(row), _origin(row), "-", row.because or "-", "-", "-")
+    sizes = ", ".join(shown(size) for size in sorted(set(figure.fit.sizes)))
+    where = "".join(f", at {shown(value)} {name}" for name, value in row.where.items())
+    measured = f"{sizes} {row.axis}{where}" + (f" ({row.short})" if row.short else "")
+    source = f"`{row.record}`, `{row.metric}`" + (f"; {row.assumption}" if row.assumption else "")
+    carried = f"to {shown(figure.target)} {row.axis}, {_beyond(figure.fit, figure.target)}"
+    return (title(row), source, measured, fit_text(row, figure.fit), percent(figure.fit.residual), carried)
+
+
+def _beyond(fitted: Fit, target: float) -> str:
+    times = fitted.beyond(target)
+    return "within what was measured" if times <= 1 else f"{shown(times)} times the largest"
+
+
+def _origin(row: Row) -> str:
+    if row.sum:
+        return "sum of " + ", ".join(f"`{part}`" for part in row.sum)
+    if row.product:
+        text = " x ".join(_part(part) for part in row.product)
+        return text + "".join(f" / {_part(part)}" for part in row.over)
+    return f"assumption: {row.assumption}"
+
+
+def _part(part: NumberOrName) -> str:
+    return f"`{part}`" if isinstance(part, str) else shown(part)
+
+
+def fit_text(row: Row, fitted: Fit) -> str:
+    """The fitted formula with units, what it is multiplied by, and why where it is not a straight line."""
+    unit = row.metric_unit or row.unit
+    if fitted.model is Model.CONSTANT:
+        text = f"{with_unit(fitted.intercept, unit)}, the mean"
+    elif fitted.model is Model.POWER:
+        text = f"{with_unit(fitted.slope, unit)} x {row.axis} to the power of {shown(fitted.exponent)}"
+    else:
+        function = FUNCTIONS[fitted.model].format(axis=row.axis)
+        start = f"{with_unit(fitted.intercept, unit)} + " if fitted.intercept else ""
+        text = f"{start}{with_unit(fitted.slope, unit)} x {function}"
+    if row.factor != 1:
+        text = f"({text}) x {shown(row.factor)}" + (f" ({row.factor_note})" if row.factor_note else "")
+    return text + (f"; {row.why}" if row.why else "")
+
+
+def ranking_table(ranked: Sequence[Figure]) -> str:
+    """Rows over budget in the order of the decision rule."""
+    if not ranked:
+        return "No row is over its budget."
+    head = ("rank", "row", "in the path of", "at the target", "budget", "times budget", "what would carry it")
+    return table(head, (_ranked(rank, figure) for rank, figure in enumerate(ranked, 1)))
+
+
+def _ranked(rank: int, figure: Figure) -> tuple[str, ...]:
+    row = figure.row
+    assert figure.budget is not None
+    return (
+        str(rank),
+        f"{row.title} (`{row.id}`)",
+        PATHS[row.path.value],
+        with_unit(figure.value, row.unit),
+        with_unit(figure.budget, row.unit),
+        _times(figure),
+        row.needs or "-",
+    )
+
+
+def choice_text(ranked: Sequence[Figure]) -> str:
+    """Which row comes first by the ranking, in one sentence."""
+    if not ranked:
+        return "Nothing is over its budget, so nothing is chosen."
+    first = ranked[0]
+    carrier = f" What would carry it: {first.row.needs}." if first.row.needs else ""
+    return (
+        f"First by the rule is **{first.row.title}** (`{first.row.id}`), "
+        f"{with_unit(first.value, first.row.unit)} or {_times(first)} times its budget, "
+        f"in the path of {PATHS[first.row.path.value]}.{carrier}"
+    )
+
+
+def bounds_table(bounds: Sequence[Bound], figures: Figures) -> str:
+    """Bounds in the code that contradict the target."""
+    head = ("file", "bound", "value", "the target needs", "what follows")
+    return table(head, (_bound(bound, figures) for bound in bounds))
+
+
+def _bound(bound: Bound, figures: Figures) -> tuple[str, ...]:
+    file = bound.module.replace(".", "/") + ".py"
+    value = "-" if bound.value is None else with_unit(bound.value, bound.unit)
+    needs = "-" if bound.needs is None else with_unit(figures.number(bound.name, bound.needs), bound.unit)
+    return (f"`{file}`", f"`{bound.name or bound.line}`", value, needs, bound.text)
+
+
+def records_table(records: Sequence[tuple[str, Record]]) -> str:
+    """The runs behind the page."""
+    head = ("record", "command", "commit", "recorded", "machine", "seed", "points", "note")
+    return table(head, (_record(file, record) for file, record in records))
+
+
+def _record(file: str, record: Record) -> tuple[str, ...]:
+    machine = f"{record.machine.cores} cores, {record.machine.memory_mb:,} MB, Python {record.machine.python}"
+    return (
+        f"`{file}`",
+        f"`{record.command}`",
+        f"`{record.commit}`",
+        record.recorded_at,
+        machine,
+        str(record.seed),
+        str(len(record.points)),
+        record.note or "-",
+    )
