--- a/grebeproxy/lab/__main__.py
+++ b/grebeproxy/lab/__main__.py
@@ -6,6 +6,7 @@
 
 from grebeproxy.lab.capacity.command import capacity
 from grebeproxy.lab.capacity.measure.command import measure
+from grebeproxy.lab.control.command import control
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -15,6 +16,7 @@
 
 main.add_command(capacity)
 main.add_command(measure)
+main.add_command(control)
 
 if __name__ == "__main__":
     main()
