--- a/grebeproxy/lab/control/command.py
+++ b/grebeproxy/lab/control/command.py
@@ -59,7 +59,7 @@
         try:
             return super().parse_args(ctx, args)
         except click.UsageError as error:
-            error.ctx = error.cmd = None
+            error.ctx = None
             raise
 
 
