--- a/grebeproxy/lab/control/command.py
+++ b/grebeproxy/lab/control/command.py
@@ -55,12 +55,11 @@
     """A command that tells of wrong arguments in one line, without its usage."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
-        """Read the arguments; errors lose the context from which their usage would be shown."""
+        """Read the arguments; an error keeps its message, on one line, and no context to show usage from."""
         try:
             return super().parse_args(ctx, args)
         except click.UsageError as error:
-            error.ctx = None
-            raise
+            raise click.UsageError(" ".join(error.format_message().split())) from None
 
 
 @click.command(cls=OneLineErrors)
--- /dev/null
+++ b/tests/test_lab_control.py
@@ -0,0 +1,225 @@
+"""The simulated fleets behind the control rows of the capacity page."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+from click.testing import CliRunner
+
+from grebeproxy.lab.__main__ import main
+from grebeproxy.lab.control import handover, lease, membership, memory, outage, replica
+from grebeproxy.lab.control.fleet import DUTY, KEY_NAME, Fleet, Network, NotReachedError, name, zone
+from grebeproxy.lab.control.usage import TRAFFIC_OF_PAYLOAD, Traffic, Usage
+from grebeproxy.lab.record import load_record
+from grebeproxy.membership.model import Condition
+from grebeproxy.membership.wire import Sealed
+from grebeproxy.peers import node
+from grebeproxy.replica import Limits
+
+SMALL = 24
+
+
+def acquainted(size: int = SMALL, seed: int = 1) -> Fleet:
+    fleet = Fleet(size, seed)
+    fleet.start_acquainted()
+    return fleet
+
+
+def counts(fleet: Fleet) -> list[Usage]:
+    """What each router used, without processor time, which no two runs share."""
+    usage = [fleet.usage([router]) for router in sorted(fleet.processes)]
+    for counted in usage:
+        counted.cpu_ns = 0
+    return usage
+
+
+def test_routers_that_know_only_the_seeds_come_to_know_all() -> None:
+    fleet = Fleet(SMALL, seed=1)
+    fleet.start(*range(SMALL))
+    fleet.run_until(lambda: fleet.agree(range(SMALL)), 30.0)
+    assert len(fleet.members_seen_by(0)) == SMALL
+
+
+def test_an_acquainted_fleet_is_what_a_fleet_becomes_that_has_run_for_long() -> None:
+    grown, made = Fleet(SMALL, seed=1), acquainted()
+    grown.start(*range(SMALL))
+    grown.run(60.0)
+    made.run(20.0)
+    rates = []
+    for fleet in (grown, made):
+        before = fleet.usage(range(SMALL))
+        fleet.run(40.0)
+        rates.append(fleet.usage(range(SMALL)) - before)
+    assert grown.agree(range(SMALL)) and made.agree(range(SMALL))
+    assert rates[0].packets_sent == pytest.approx(rates[1].packets_sent, rel=0.03)
+    assert rates[0].bytes_sent == pytest.approx(rates[1].bytes_sent, rel=0.03)
+
+
+def test_counted_bytes_are_those_of_sealed_packets(monkeypatch: pytest.MonkeyPatch) -> None:
+    sealed_lengths: list[int] = []
+    seal = Sealed.seal
+
+    def counting(self: Sealed, payload: object) -> bytes:
+        packet = seal(self, payload)
+        sealed_lengths.append(len(packet))
+        return packet
+
+    monkeypatch.setattr(Sealed, "seal", counting)
+    fleet = Fleet(SMALL, seed=1, limits=Limits(), duties=(DUTY,), key_bytes=16)
+    fleet.start_acquainted()
+    fleet.want_lease(0)
+    fleet.run(5.0)
+    used = fleet.usage(range(SMALL))
+    assert (used.packets_sent, used.bytes_sent) == (len(sealed_lengths), sum(sealed_lengths))
+    for kind in Traffic:
+        assert fleet.usage(range(SMALL), [kind]).packets_sent > 0
+
+
+def test_all_that_is_sent_arrives_within_the_delay_or_is_lost() -> None:
+    fleet = acquainted()
+    fleet.run(10.0)
+    for process in fleet.processes.values():
+        process.wake_at = float("inf")  # nothing more is begun
+    fleet.run(0.1)
+    used = fleet.usage(range(SMALL))
+    assert (used.packets_received, used.bytes_received) == (used.packets_sent, used.bytes_sent)
+    lossy = Fleet(SMALL, seed=1, network=Network(loss=0.2))
+    lossy.start_acquainted()
+    lossy.run(30.0)
+    lost = lossy.usage(range(SMALL))
+    assert lost.packets_received / lost.packets_sent == pytest.approx(0.8, abs=0.03)
+
+
+def test_the_same_seed_gives_the_same_run_and_another_one_does_not() -> None:
+    fleets = [acquainted(seed=seed) for seed in (7, 7, 8)]
+    for fleet in fleets:
+        fleet.run(5.0)
+        fleet.kill(3)
+        fleet.run(15.0)
+        fleet.start(3)
+        fleet.run(5.0)
+    first, again, other = (counts(fleet) for fleet in fleets)
+    assert first == again
+    assert first != other
+    assert fleets[0].failure_reports == fleets[1].failure_reports
+
+
+def test_a_zone_that_is_cut_off_is_a_minority_and_is_back_after_the_cut() -> None:
+    fleet = acquainted()
+    fleet.run(3.0)
+    rest = [router for router in range(SMALL) if zone(router) != 0]
+    fleet.separated = lambda sender, receiver: (zone(sender) == 0) != (zone(receiver) == 0)
+    fleet.run_until(lambda: fleet.agree(rest), 60.0)
+    cut_off = fleet.processes[0].node.view
+    assert cut_off.condition in (Condition.MINORITY, Condition.ALONE)
+    assert fleet.processes[rest[0]].node.view.quorate
+    assert {report.failed for report in fleet.failure_reports if report.reporter in rest} == {
+        name(router) for router in range(SMALL) if zone(router) == 0
+    }
+    fleet.separated = None
+    fleet.run_until(lambda: fleet.agree(range(SMALL)), 60.0)
+
+
+def test_what_does_not_come_about_is_an_error_with_the_time_that_it_was_given() -> None:
+    fleet = acquainted()
+    began = fleet.now
+    with pytest.raises(NotReachedError, match="not within 2 s with 24 routers"):
+        fleet.run_until(lambda: False, 2.0)
+    assert fleet.now - began == pytest.approx(2.0, abs=0.1)
+
+
+def test_membership_points_hold_a_quiet_fleet_a_failure_and_a_join() -> None:
+    values, resident = membership.measure(SMALL, seed=1)
+    assert values.sizes == {"members": SMALL}
+    assert 4.0 < values.values["quiet_packets_per_s"] < 4.5
+    assert 0 < values.values["failure_known_to_first_s"] <= values.values["failure_known_to_all_s"]
+    assert values.values["failure_known_to_all_s"] <= values.values["failure_known_to_all_most_s"] < 20.0
+    assert values.values["false_alarms"] == 0
+    # Each fact has at least the name and the address of a member.
+    assert values.values["join_received_bytes"] > (SMALL - 1) * len(name(0) + "10.0.0.0")
+    assert resident.sizes == {"members": SMALL * membership.MEMORY_TIMES}
+    assert resident.values["memory_kb"] > 0
+
+
+def test_a_lease_is_renewed_with_a_packet_to_each_other_member_and_is_taken_over() -> None:
+    [point] = lease.measure(SMALL, seed=1)
+    assert point.values["renewal_packets_sent"] == pytest.approx(SMALL - 1, abs=0.2 * SMALL)
+    assert 1.0 < point.values["takeover_s"] <= point.values["takeover_most_s"]
+    assert point.values["takeover_packets"] >= SMALL - 1
+
+
+def test_a_handover_has_its_parts_and_an_ordered_one_needs_no_detection() -> None:
+    [point] = handover.measure(SMALL, seed=1)
+    assert point.values["stopped_detection_s"] < 0.1 < point.values["failed_detection_s"]
+    parts = point.values["failed_detection_s"] + point.values["failed_decision_s"]
+    assert 0.9 * parts <= point.values["failed_most_s"] < 30.0
+    assert 50.0 < point.values["failed_promised_percent"] <= 100.0
+
+
+def test_each_router_holds_the_keys_of_all_and_a_change_reaches_all() -> None:
+    point, resident = replica.measure(SMALL, seed=1)
+    assert point.values["copies_held_percent"] == point.values["change_reached_percent"] == 100.0
+    assert 0 < point.values["change_to_all_s"] < 10.0
+    assert point.values["join_received_bytes"] > SMALL * replica.KEY_BYTES
+    assert resident.values["memory_kb"] > 0
+
+
+def test_published_keys_are_the_same_at_all_routers_from_the_start() -> None:
+    fleet = Fleet(SMALL, seed=1, limits=Limits(), key_bytes=16)
+    fleet.start_acquainted()
+    keys = [process.node.store.all(KEY_NAME) for process in fleet.processes.values()]
+    assert len(keys[0]) == SMALL and all(held == keys[0] for held in keys)
+
+
+def test_of_two_regions_apart_neither_acts_and_both_agree_again() -> None:
+    [point] = outage.measure(SMALL, seed=1)
+    assert point.values["regions_parted_quorate_routers"] == 0
+    for outcome in ("all_restart_s", "rack_lost_s", "rack_returned_s", "zone_lost_s", "regions_healed_s"):
+        assert 0 < point.values[outcome] < outage.MOST_SECONDS
+    assert point.values["zone_lost_most_bytes"] >= point.values["zone_lost_bytes"] > 0
+
+
+def test_memory_grows_with_members_and_is_that_of_an_open_router() -> None:
+    few, many = memory.membership_bytes(50, seed=1), memory.membership_bytes(200, seed=1)
+    assert 150 * 100 < many - few < 150 * 4000  # bytes for each further member
+    assert memory.replica_bytes(200, seed=1, key_bytes=16) > many
+
+
+def test_a_command_writes_its_record(tmp_path: Path) -> None:
+    path = tmp_path / "control-membership.json"
+    command = [sys.executable, "-m", "grebeproxy.lab", "control", "membership"]
+    arguments = ["--sizes", "24", "--seed", "3", "--json", str(path)]
+    done = subprocess.run([*command, *arguments], capture_output=True, text=True, timeout=60)
+    assert done.returncode == 0, done.stderr
+    assert "membership: 24 routers took" in done.stderr
+    assert "members=24 quiet_packets_per_s=" in done.stdout
+    record = load_record(path)
+    assert (record.name, record.seed) == ("control-membership", 3)
+    assert [point.sizes["members"] for point in record.points] == [24, 24 * membership.MEMORY_TIMES]
+
+
+@pytest.mark.parametrize(
+    "arguments",
+    [
+        ("nonsense",),
+        (),
+        ("lease", "--sizes", "5"),
+        ("lease", "--sizes", "2401"),
+        ("lease", "--sizes", "many"),
+        ("lease", "--seed", "x"),
+        ("lease", "--unknown"),
+    ],
+)
+def test_bad_arguments_are_told_in_one_line(arguments: tuple[str, ...]) -> None:
+    done = CliRunner().invoke(main, ["control", *arguments])
+    assert done.exit_code == 2
+    assert done.stderr.startswith("Error: ") and done.stderr.count("\n") == 1
+    assert done.stdout == ""
+
+
+def test_node_payload_kinds_are_all_counted() -> None:
+    kinds = {node.MEMBER, node.VOTE, node.DIGEST, node.DELTA}
+    assert TRAFFIC_OF_PAYLOAD.keys() == kinds
