--- a/grebeproxy/lab/capacity/measure/command.py
+++ b/grebeproxy/lab/capacity/measure/command.py
@@ -8,7 +8,7 @@
 
 import click
 
-from grebeproxy.lab.capacity.measure import statement
+from grebeproxy.lab.capacity.measure import connections, engine_list, start, statement, whole
 from grebeproxy.lab.record import Point, record_now
 
 SIZES_HELP = "Sizes to measure at, with commas."
@@ -69,3 +69,39 @@
     statement.ENGINES,
     lambda sizes, seed: statement.measure(sizes, seed=seed),
 )
+add(
+    "rates",
+    "CPU of a whole statement in a real process against statements a second, with few engines.",
+    whole.RATES,
+    lambda sizes, seed: whole.against_rate(sizes, seed),
+)
+add(
+    "whole",
+    "CPU of a whole statement in a real process against the fleet's engines, few a second.",
+    whole.ENGINES,
+    lambda sizes, seed: whole.against_engines(sizes, seed),
+)
+add(
+    "busy",
+    "CPU of a whole statement in a real process against the fleet's engines, at 2,083 statements a second.",
+    whole.ENGINES,
+    lambda sizes, seed: whole.against_engines(sizes, seed, whole.RATES[-1]),
+)
+add(
+    "connections",
+    "Memory of idle and busy client connections of a real process.",
+    connections.CONNECTIONS,
+    lambda sizes, seed: connections.measure(sizes, seed),
+)
+add(
+    "enginelist",
+    "Bytes, CPU and memory of the engine list, whole and as a change of one engine.",
+    engine_list.ENGINES,
+    lambda sizes, seed: engine_list.measure(sizes, seed),
+)
+add(
+    "start",
+    "Seconds from a router's start until it serves, with a list of engines in its configuration.",
+    start.ENGINES,
+    lambda sizes, seed: start.measure(sizes, seed),
+)
