--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -12,7 +12,8 @@
 import sys
 from pathlib import Path
 
-sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
+sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
+sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from members import Net
 
--- a/grebeproxy/lab/capacity/page.py
+++ b/grebeproxy/lab/capacity/page.py
@@ -164,13 +164,15 @@
         return self._filled((self.folder / file).read_text()).rstrip("\n")
 
     def _template_problems(self) -> list[str]:
-        """Figures that are typed into the template, and so follow from no record."""
-        lines = (self.folder / TEMPLATE).read_text().splitlines()
-        return [
-            f"{TEMPLATE}:{number}: a figure that follows from nothing: {line.strip()}"
-            for number, line in enumerate(lines, 1)
-            if re.search(r"\d", WITHOUT_FIGURES.sub("", line))
-        ]
+        """Figures typed into the template, or the tables of what it includes: they follow from no record."""
+        template = (self.folder / TEMPLATE).read_text()
+        problems = _typed_figures(TEMPLATE, template.splitlines())
+        for placeholder in PLACEHOLDER.findall(template):
+            kind, _, file = placeholder.strip().partition(":")
+            if kind == "include" and (self.folder / file).exists():
+                lines = (self.folder / file).read_text().splitlines()
+                problems += _typed_figures(file, [line if line.startswith("|") else "" for line in lines])
+        return problems
 
     def _row_problems(self) -> list[str]:
         problems: list[str] = []
@@ -194,6 +196,14 @@
         ]
 
 
+def _typed_figures(file: str, lines: list[str]) -> list[str]:
+    return [
+        f"{file}:{number}: a figure that follows from nothing: {line.strip()}"
+        for number, line in enumerate(lines, 1)
+        if re.search(r"\d", WITHOUT_FIGURES.sub("", line))
+    ]
+
+
 def _is_module(name: str) -> bool:
     try:
         return find_spec(name) is not None
--- /dev/null
+++ b/tests/test_capacity.py
@@ -0,0 +1,333 @@
+"""The capacity page: fits, figures, and a check that fails on a figure that follows from nothing."""
+
+from __future__ import annotations
+
+import re
+import shutil
+from collections.abc import Callable
+from pathlib import Path
+
+import orjson
+import pytest
+from click.testing import CliRunner, Result
+from hypothesis import given
+from hypothesis import strategies as st
+
+from grebeproxy.lab.__main__ import main
+from grebeproxy.lab.capacity.bounds import problems_of
+from grebeproxy.lab.capacity.figures import FigureError, Figures, evidence_problems, ranking
+from grebeproxy.lab.capacity.fit import FitError, Model, fit
+from grebeproxy.lab.capacity.numbers import shown
+from grebeproxy.lab.capacity.page import Page
+from grebeproxy.lab.capacity.rows import Bound, DeclarationError, RequestPath, Row, Stage, load_rows
+from grebeproxy.lab.record import Machine, Point, Record
+
+DOCS = Path(__file__).parent.parent / "docs"
+SIZES = (10.0, 20.0, 40.0, 80.0, 160.0)
+
+
+def check(docs: Path) -> Result:
+    return CliRunner().invoke(main, ["capacity", "--check", "--docs", str(docs)])
+
+
+@pytest.fixture
+def docs(tmp_path: Path) -> Path:
+    """A copy of the committed page and of all that it follows from."""
+    copy = tmp_path / "docs"
+    copy.mkdir()
+    shutil.copy(DOCS / "CAPACITY.md", copy)
+    shutil.copytree(DOCS / "capacity", copy / "capacity")
+    return copy
+
+
+def row(**told: object) -> Row:
+    usual = {"id": "a", "role": "r", "what": "CPU", "title": "t", "unit": "us", "mechanism": "m"}
+    return Row(**{**usual, **told})  # type: ignore[arg-type]
+
+
+def figures(folder: Path, *rows: Row, **targets: float) -> Figures:
+    return Figures(rows, targets, folder)
+
+
+def save_record(folder: Path, values: Callable[[float], float], sizes: tuple[float, ...] = SIZES) -> None:
+    points = tuple(Point({"n": size}, {"cpu": values(size)}) for size in sizes)
+    record = Record("made", "a command", "a commit", "a time", Machine(8, 1024, "3.11"), 1, points)
+    record.save(folder / "made.json")
+
+
+# --- the committed page
+
+
+def test_the_committed_page_follows_from_the_records() -> None:
+    result = check(DOCS)
+    assert result.exit_code == 0, result.output
+
+
+def test_a_copy_is_checked_as_well(docs: Path) -> None:
+    assert check(docs).exit_code == 0
+
+
+def table_figures(page: str) -> list[re.Match[str]]:
+    """Numbers with a digit above zero, in lines of tables."""
+    return [
+        match
+        for match in re.finditer(r"(?m)(?<=[ (])\d[\d,]*(?:\.\d+)?(?=[ %])", page)
+        if line_of(page, match)
+    ]
+
+
+def line_of(page: str, match: re.Match[str]) -> bool:
+    return page[page.rfind("\n", 0, match.start()) + 1] == "|"
+
+
+def test_any_changed_figure_in_a_table_fails_the_check(docs: Path) -> None:
+    path = docs / "CAPACITY.md"
+    page = path.read_text()
+    found = table_figures(page)
+    assert len(found) > 50
+    for match in found[:: len(found) // 20]:
+        digit = page[match.start()]
+        path.write_text(page[: match.start()] + str((int(digit) + 1) % 10) + page[match.start() + 1 :])
+        result = check(docs)
+        assert result.exit_code == 1, match
+        assert "CAPACITY.md" in result.output
+
+
+def test_a_changed_figure_in_the_text_fails_the_check(docs: Path) -> None:
+    path = docs / "CAPACITY.md"
+    path.write_text(path.read_text().replace("2,400 query routers", "2,401 query routers"))
+    result = check(docs)
+    assert result.exit_code == 1
+    assert "-The operators' target" in result.output and "+The operators' target" in result.output
+
+
+def test_a_changed_point_of_a_record_fails_the_check(docs: Path) -> None:
+    path = docs / "capacity" / "statement-before.json"
+    record = orjson.loads(path.read_bytes())
+    record["points"][-1]["values"]["decide_us"] *= 1.5
+    path.write_bytes(orjson.dumps(record))
+    result = check(docs)
+    assert result.exit_code == 1
+    assert "deciding one statement" in result.output
+
+
+def test_a_record_that_is_not_there_fails_the_check(docs: Path) -> None:
+    (docs / "capacity" / "statement-before.json").unlink()
+    result = check(docs)
+    assert result.exit_code == 1
+    assert "statement-before.json" in result.output
+
+
+def test_a_page_that_is_not_there_fails_the_check(docs: Path) -> None:
+    (docs / "CAPACITY.md").unlink()
+    assert check(docs).exit_code == 1
+
+
+def test_a_figure_typed_into_the_template_fails_even_where_the_page_has_it(docs: Path) -> None:
+    for line in ("We have 17 relays.", "| CPU | 99 us |"):
+        template = docs / "capacity" / "page.md"
+        before = template.read_text()
+        template.write_text(before + f"\n{line}\n")
+        Page(docs).write()
+        result = check(docs)
+        assert result.exit_code == 1 and "follows from nothing" in result.output
+        template.write_text(before)
+
+
+def test_a_table_typed_into_an_included_file_fails(docs: Path) -> None:
+    (docs / "capacity" / "more.md").write_text("| what | cost |\n| --- | --- |\n| one | 3 s |\n")
+    with (docs / "capacity" / "page.md").open("a") as template:
+        template.write("\n{{include:more.md}}\n")
+    Page(docs).write()
+    result = check(docs)
+    assert result.exit_code == 1 and "more.md:3" in result.output
+
+
+def test_a_stale_bound_fails_the_check(docs: Path) -> None:
+    path = docs / "capacity" / "bounds" / "data.toml"
+    path.write_text(path.read_text().replace("value = 1024", "value = 1025"))
+    Page(docs).write()
+    result = check(docs)
+    assert result.exit_code == 1
+    assert "the page says 1025, the code 1024" in result.output
+
+
+@pytest.mark.parametrize("placeholder", ["figure:nothing.value", "target:nothing", "what", "table:nobody"])
+def test_a_placeholder_that_names_nothing_fails(docs: Path, placeholder: str) -> None:
+    with (docs / "capacity" / "page.md").open("a") as template:
+        template.write(f"\n{{{{{placeholder}}}}}\n")
+    assert check(docs).exit_code == 1
+
+
+# --- fits
+
+
+@given(intercept=st.floats(-100, 100), slope=st.floats(0.1, 100))
+def test_a_straight_line_is_found_again(intercept: float, slope: float) -> None:
+    found = fit(Model.AFFINE, SIZES, [intercept + slope * size for size in SIZES])
+    assert found.at(1000.0) == pytest.approx(intercept + slope * 1000.0, rel=1e-6, abs=1e-6)
+
+
+@pytest.mark.parametrize(
+    ("model", "value"),
+    [
+        (Model.CONSTANT, lambda n: 7.0),
+        (Model.LINEAR, lambda n: 3.0 * n),
+        (Model.SQUARE, lambda n: 5.0 + 0.5 * n * n),
+        (Model.POWER, lambda n: 2.0 * n**1.5),
+    ],
+)
+def test_a_model_finds_its_own_curve_without_residual(model: Model, value: Callable[[float], float]) -> None:
+    found = fit(model, SIZES, [value(size) for size in SIZES])
+    assert found.at(320.0) == pytest.approx(value(320.0))
+    assert found.residual < 1e-9
+    assert found.beyond(320.0) == 2.0
+
+
+def test_a_residual_tells_of_a_wrong_model() -> None:
+    assert fit(Model.LINEAR, SIZES, [size * size for size in SIZES]).residual > 0.3
+
+
+@pytest.mark.parametrize("model", [Model.LOG, Model.N_LOG_N, Model.POWER])
+def test_a_logarithm_refuses_a_size_of_zero(model: Model) -> None:
+    with pytest.raises(FitError):
+        fit(model, [0.0, 1.0, 2.0, 3.0], [1.0, 2.0, 3.0, 4.0])
+
+
+# --- rows
+
+
+def test_a_fitted_row_is_slope_times_target_times_factor(tmp_path: Path) -> None:
+    save_record(tmp_path, lambda n: 2.0 * n)
+    one = row(record="made.json", metric="cpu", axis="n", target="fleet", factor=3, budget="cpu_budget")
+    figure = figures(tmp_path, one, fleet=400, cpu_budget=1200).of("a")
+    assert figure.value == pytest.approx(2400.0)
+    assert figure.times_budget == pytest.approx(2.0) and figure.over_budget
+
+
+@pytest.mark.parametrize(
+    ("changes", "problem"),
+    [
+        ({"record": "none.json"}, "none.json"),
+        ({"metric": "memory"}, "no points"),
+        ({"axis": "m"}, "no points"),
+        ({"target": "fleet"}, "neither a target nor a row"),
+        ({"record": ""}, "follows from nothing"),
+        ({"record": "", "sum": ("a",)}, "follows from itself"),
+    ],
+)
+def test_a_row_that_follows_from_nothing_is_an_error(
+    tmp_path: Path, changes: dict[str, object], problem: str
+) -> None:
+    save_record(tmp_path, lambda n: n)
+    one = row(**{"record": "made.json", "metric": "cpu", "axis": "n", "target": 200, **changes})
+    with pytest.raises(FigureError, match=problem):
+        figures(tmp_path, one).of("a")
+
+
+@pytest.mark.parametrize(
+    ("sizes", "changes", "problem"),
+    [
+        (SIZES, {}, None),
+        (SIZES[:3], {}, "3 sizes measured"),
+        (SIZES[:3], {"assumption": "no more sizes fit"}, None),
+        (SIZES, {"target": 1601}, "below a tenth"),
+        (SIZES, {"target": 1601, "short": "descriptors end there"}, None),
+        (SIZES, {"fit": Model.POWER}, "`why` does not say"),
+        (SIZES, {"mechanism": "missing"}, "`without` does not say"),
+        (SIZES, {"budget": 5}, "no source"),
+    ],
+)
+def test_the_evidence_behind_a_row(
+    tmp_path: Path, sizes: tuple[float, ...], changes: dict[str, object], problem: str | None
+) -> None:
+    save_record(tmp_path, lambda n: n, sizes)
+    one = row(**{"record": "made.json", "metric": "cpu", "axis": "n", "target": 200, **changes})
+    problems = evidence_problems(figures(tmp_path, one).of("a"))
+    assert (problem in problems[0]) if problem else not problems
+
+
+def test_sums_and_products_follow_from_other_rows(tmp_path: Path) -> None:
+    rows = (
+        row(id="a", assumption="guessed", value=2),
+        row(id="b", assumption="guessed", value="engines"),
+        row(id="c", sum=("a", "b")),
+        row(id="d", product=("a", "engines", 10), over=("b",)),
+    )
+    worked_out = figures(tmp_path, *rows, engines=30)
+    assert worked_out.of("c").value == 32
+    assert worked_out.of("d").value == 20
+
+
+def test_the_ranking_puts_the_path_of_all_statements_and_control_first(tmp_path: Path) -> None:
+    def over(name: str, path: RequestPath, value: float, stage: Stage = Stage.BOTH) -> Row:
+        return row(id=name, path=path, assumption="guessed", value=value, budget=1, stage=stage)
+
+    rows = (
+        over("other", RequestPath.OTHER, 100),
+        over("control", RequestPath.CONTROL, 3),
+        over("statement", RequestPath.STATEMENT, 5),
+        over("before", RequestPath.STATEMENT, 9, Stage.BEFORE),
+        over("fits", RequestPath.STATEMENT, 0.5),
+    )
+    worked_out = figures(tmp_path, *rows)
+    of_all = [worked_out.of(one.id) for one in rows]
+    assert [f.row.id for f in ranking(of_all, Stage.NOW)] == ["statement", "control", "other"]
+    assert next(iter(ranking(of_all, Stage.BEFORE))).row.id == "before"
+
+
+@pytest.mark.parametrize(
+    ("text", "problem"),
+    [
+        ('[[row]]\nid = "a"', "missing: "),
+        ('[[row]]\nid = "a"\nfit = "cubic"', "cubic"),
+        ('[[row]]\nid = "a"\ncolour = 1', "not known: colour"),
+        ("[row", "bad.toml"),
+    ],
+)
+def test_a_declaration_that_cannot_be_used(tmp_path: Path, text: str, problem: str) -> None:
+    (tmp_path / "bad.toml").write_text(text)
+    with pytest.raises(DeclarationError, match=problem):
+        load_rows(tmp_path)
+
+
+@pytest.mark.parametrize(
+    "bound",
+    [
+        Bound("grebeproxy.net.admission", "text", name="SPARE", value=48),
+        Bound("grebeproxy.replica.store", "text", name="Limits.origins", value=1024),
+        Bound("grebeproxy.net.admission", "text", line="LINK_SHARE = 3"),
+    ],
+)
+def test_a_bound_as_in_the_code(bound: Bound) -> None:
+    assert problems_of(bound) == []
+
+
+@pytest.mark.parametrize(
+    "bound",
+    [
+        Bound("grebeproxy.net.admission", "text", name="SPARE", value=47),
+        Bound("grebeproxy.net.admission", "text", name="NOTHING", value=47),
+        Bound("grebeproxy.replica.store", "text", name="Limits.origins", value=1025),
+        Bound("grebeproxy.replica.store", "text", name="Limits.nothing", value=1),
+        Bound("grebeproxy.net.admission", "text", line="LINK_SHARE = 4"),
+        Bound("grebeproxy.nothing", "text", name="SPARE", value=48),
+    ],
+)
+def test_a_bound_that_differs_from_the_code(bound: Bound) -> None:
+    assert len(problems_of(bound)) == 1
+
+
+@pytest.mark.parametrize(
+    ("value", "text"),
+    [
+        (0, "0"),
+        (18_000_000, "18,000,000"),
+        (0.012345, "0.0123"),
+        (24537.8, "24,500"),
+        (52.52, "52.5"),
+        (9.999, "10"),
+    ],
+)
+def test_numbers_are_shown_with_three_digits(value: float, text: str) -> None:
+    assert shown(value) == text
--- /dev/null
+++ b/tests/test_capacity_measure.py
@@ -0,0 +1,108 @@
+"""The measurements behind the capacity page, at sizes that take seconds."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+from pathlib import Path
+
+import pytest
+from click.testing import CliRunner
+
+from grebeproxy.lab.__main__ import main
+from grebeproxy.lab.capacity.measure import connections, engine_list, start, statement, whole
+from grebeproxy.lab.capacity.measure.process import RouterProcess
+from grebeproxy.lab.capacity.measure.workload import Statements, engine_entries, settings
+from grebeproxy.lab.record import load_record
+from grebeproxy.net import msgpack_rpc
+from grebeproxy.net.messages import Call
+
+
+@pytest.fixture(autouse=True)
+def short(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(whole, "WARM_UP", 0.2)
+    monkeypatch.setattr(whole, "WINDOW", 0.6)
+    monkeypatch.setattr(connections, "IDLE_WINDOW", 0.2)
+    monkeypatch.setattr(start, "RUNS", 1)
+    monkeypatch.setattr(statement, "DECISION_SECONDS", 0.02)
+    monkeypatch.setattr(statement, "CODEC_STATEMENTS", 50)
+
+
+@pytest.fixture
+def processes(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[int]]:
+    """Ids of the router processes that a test starts; all have ended by its end."""
+    started: list[int] = []
+    begin: Callable[..., None] = RouterProcess.__init__
+
+    def noted(self: RouterProcess, *told: object) -> None:
+        begin(self, *told)
+        started.append(self._process.pid)
+
+    monkeypatch.setattr(RouterProcess, "__init__", noted)
+    yield started
+    assert started
+    assert not [pid for pid in started if Path(f"/proc/{pid}").exists()]
+
+
+def test_requests_of_the_mix_are_usable_and_of_all_classes() -> None:
+    statements, decoder = Statements(1), msgpack_rpc.Decoder(settings(12))
+    calls = [call for number in range(200) for call in decoder.feed(statements.request(number))]
+    assert all(isinstance(call, Call) for call in calls) and len(calls) == 200
+    assert {call.cls for call in calls if isinstance(call, Call)} == {"lookup", "report", "load"}
+    assert len({call.txn for call in calls if isinstance(call, Call)}) == 200
+
+
+def test_engines_are_spread_over_all_zones() -> None:
+    zones = [engine.zone for engine in engine_entries(60)]
+    assert {zones.count(zone) for zone in zones} == {10}
+
+
+def test_deciding_costs_more_before_more_engines() -> None:
+    few, many = statement.measure(engines=(8, 300), routers=(12,))
+    assert many.values["decide_us"] > 2 * few.values["decide_us"]
+    parts = ("decode_us", "send_us", "read_us", "answer_us", "decide_us")
+    assert few.values["sum_us"] == pytest.approx(sum(few.values[part] for part in parts))
+    assert min(few.values.values()) > 0
+
+
+def test_an_engine_list_grows_by_one_record_for_each_engine() -> None:
+    few, many = engine_list.measure((20, 120))
+    assert (many.values["whole_bytes"] - few.values["whole_bytes"]) / 100 == few.values["entry_bytes"]
+    assert few.values["change_bytes"] == many.values["change_bytes"] < few.values["whole_bytes"]
+    assert many.values["memory_kb_each"] > 0
+
+
+def test_whole_statements_are_all_answered_by_a_real_router(processes: list[int]) -> None:
+    (point,) = whole.against_rate((100,))
+    assert point.values["served_per_s"] == pytest.approx(100, rel=0.2)
+    assert point.values["refused_per_s"] == 0
+    assert 50 < point.values["cpu_us"] < 50_000
+
+
+def test_connections_stay_open_and_are_all_answered(processes: list[int]) -> None:
+    (point,) = connections.measure((120,))
+    assert point.values["open"] == 120
+    assert point.values["served"] + point.values["refused"] == 120
+    assert point.values["busy_mb"] >= point.values["idle_mb"] >= 0
+
+
+def test_a_start_is_timed_until_the_router_answers(processes: list[int]) -> None:
+    (point,) = start.measure((30,))
+    assert 0.05 < point.values["serves_s"] < 30
+    assert point.values["cpu_s"] > 0 and point.values["rss_mb"] > 5
+
+
+def test_a_measurement_is_written_as_a_record(tmp_path: Path) -> None:
+    path = tmp_path / "made.json"
+    arguments = ["measure", "enginelist", "--sizes", "8,16", "--seed", "3", "--json", str(path)]
+    result = CliRunner().invoke(main, arguments)
+    assert result.exit_code == 0, result.output
+    record = load_record(path)
+    assert [point.sizes["engines"] for point in record.points] == [8, 16]
+    assert record.seed == 3 and record.name == "enginelist" and record.machine.cores > 0
+
+
+@pytest.mark.parametrize("sizes", ["x", "", "3,,4", "-1"])
+def test_sizes_that_cannot_be_read(sizes: str) -> None:
+    result = CliRunner().invoke(main, ["measure", "enginelist", "--sizes", sizes])
+    assert result.exit_code == 2
+    assert "Error" in result.output
