--- a/grebeproxy/lab/capacity/fit.py
+++ b/grebeproxy/lab/capacity/fit.py
@@ -10,6 +10,7 @@
 from numpy.typing import NDArray
 
 Vector = NDArray[np.float64]
+ROUNDING = 1e-9  # part of the largest value below which an intercept is an error of rounding
 
 
 class FitError(Exception):
@@ -108,7 +109,8 @@
         (slope,), *_ = np.linalg.lstsq(column[:, None], y, rcond=None)
         return 0.0, float(slope)
     (intercept, slope), *_ = np.linalg.lstsq(np.column_stack([np.ones_like(x), column]), y, rcond=None)
-    return float(intercept), float(slope)
+    nothing = abs(intercept) < ROUNDING * np.abs(y).max()
+    return (0.0 if nothing else float(intercept)), float(slope)
 
 
 def _power(x: Vector, y: Vector) -> tuple[float, float]:
--- a/grebeproxy/lab/capacity/measure/command.py
+++ b/grebeproxy/lab/capacity/measure/command.py
@@ -8,7 +8,7 @@
 
 import click
 
-from grebeproxy.lab.capacity.measure import connections, engine_list, start, statement, whole
+from grebeproxy.lab.capacity.measure import cold, connections, engine_list, start, statement, whole
 from grebeproxy.lab.record import Point, record_now
 
 SIZES_HELP = "Sizes to measure at, with commas."
@@ -105,3 +105,9 @@
     start.ENGINES,
     lambda sizes, seed: start.measure(sizes, seed),
 )
+add(
+    "cold",
+    "What cold engines get from all routers together, over their budget, on a simulated clock.",
+    cold.ROUTERS,
+    lambda sizes, seed: cold.measure(sizes, seed),
+)
--- a/grebeproxy/lab/capacity/page.py
+++ b/grebeproxy/lab/capacity/page.py
@@ -4,7 +4,8 @@
 
 - ``target:NAME``, ``figure:ROW.FIELD`` (``value``, ``budget``, ``times``, ``slope``, ``residual`` or
   ``beyond``);
-- ``table:ROLE``, ``evidence:ROLE``, ``ranking:STAGE``, ``choice:STAGE`` (``before`` or ``now``);
+- ``table:ROLE`` (what the role takes, and the evidence), ``ranking:STAGE``, ``choice:STAGE``, with
+  ``before`` or ``now`` as the stage;
 - ``bounds``, ``records``;
 - ``include:FILE``, a file of ``docs/capacity`` whose placeholders are replaced as well.
 """
@@ -24,6 +25,7 @@
 from grebeproxy.lab.capacity.figures import Figure, FigureError, Figures, evidence_problems, ranking
 from grebeproxy.lab.capacity.numbers import percent, shown, with_unit
 from grebeproxy.lab.capacity.rows import (
+    ROLES,
     Bound,
     DeclarationError,
     Number,
@@ -112,8 +114,7 @@
         renderers: dict[str, Callable[[str], str]] = {
             "target": lambda name: shown(self._target(name)),
             "figure": self._figure_text,
-            "table": lambda role: tables.role_table(self._of_role(role)),
-            "evidence": lambda role: tables.evidence_table(self._of_role(role)),
+            "table": self._role_tables,
             "ranking": lambda stage: tables.ranking_table(self._ranked(stage)),
             "choice": lambda stage: tables.choice_text(self._ranked(stage)),
             "bounds": lambda _: tables.bounds_table(self.bounds, self.figures),
@@ -147,11 +148,13 @@
             return shown(fitted.beyond(figure.target))
         raise PageError(f"{{{{figure:{name}}}}}: the row has no {field}")
 
-    def _of_role(self, role: str) -> list[Figure]:
+    def _role_tables(self, role: str) -> str:
+        if role not in ROLES:
+            raise PageError(f"{{{{table:{role}}}}}: there is no such role")
         figures = [self.figures.of(row.id) for row in self.rows if row.role == role]
         if not figures:
-            raise PageError(f"{{{{table:{role}}}}}: no row has this role")
-        return figures
+            return "No row is declared for this role."
+        return f"{tables.role_table(figures)}\n\n{tables.evidence_table(figures)}"
 
     def _ranked(self, stage: str) -> list[Figure]:
         return ranking([self.figures.of(row.id) for row in self.rows], Stage(stage))
--- a/grebeproxy/lab/capacity/rows.py
+++ b/grebeproxy/lab/capacity/rows.py
@@ -16,6 +16,16 @@
 from grebeproxy.lab.capacity.fit import Model
 
 MISSING_MECHANISM = "missing"
+ROLES = (
+    "router-data",
+    "router-control",
+    "engine",
+    "changelog",
+    "control-machine",
+    "relay",
+    "publisher",
+    "restart",
+)
 
 Number = int | float
 NumberOrName = int | float | str  # a name is looked up among the targets, or the rows
@@ -59,6 +69,7 @@
     record: str = ""
     metric: str = ""
     axis: str = ""
+    axis_unit: str = ""
     where: Mapping[str, Number] = field(default_factory=dict)
     fit: Model = Model.AFFINE
     why: str = ""
@@ -79,6 +90,11 @@
     needs: str = ""
     stage: Stage = Stage.BOTH
 
+    @property
+    def size_name(self) -> str:
+        """What sizes are counted in."""
+        return self.axis_unit or self.axis
+
     @property
     def fitted(self) -> bool:
         """Whether the row's value comes from a fit of recorded points."""
@@ -114,6 +130,8 @@
     for row in rows:
         if row.id in seen:
             raise DeclarationError(f"rows: {row.id}: declared twice")
+        if row.role not in ROLES:
+            raise DeclarationError(f"rows: {row.id}: {row.role} is no role")
         seen.add(row.id)
     return rows
 
--- a/grebeproxy/lab/capacity/tables.py
+++ b/grebeproxy/lab/capacity/tables.py
@@ -75,9 +75,9 @@
         return (title(row), _origin(row), "-", row.because or "-", "-", "-")
     sizes = ", ".join(shown(size) for size in sorted(set(figure.fit.sizes)))
     where = "".join(f", at {shown(value)} {name}" for name, value in row.where.items())
-    measured = f"{sizes} {row.axis}{where}" + (f" ({row.short})" if row.short else "")
+    measured = f"{sizes} {row.size_name}{where}" + (f" ({row.short})" if row.short else "")
     source = f"`{row.record}`, `{row.metric}`" + (f"; {row.assumption}" if row.assumption else "")
-    carried = f"to {shown(figure.target)} {row.axis}, {_beyond(figure.fit, figure.target)}"
+    carried = f"to {shown(figure.target)} {row.size_name}, {_beyond(figure.fit, figure.target)}"
     return (title(row), source, measured, fit_text(row, figure.fit), percent(figure.fit.residual), carried)
 
 
@@ -105,9 +105,9 @@
     if fitted.model is Model.CONSTANT:
         text = f"{with_unit(fitted.intercept, unit)}, the mean"
     elif fitted.model is Model.POWER:
-        text = f"{with_unit(fitted.slope, unit)} x {row.axis} to the power of {shown(fitted.exponent)}"
+        text = f"{with_unit(fitted.slope, unit)} x {row.size_name} to the power of {shown(fitted.exponent)}"
     else:
-        function = FUNCTIONS[fitted.model].format(axis=row.axis)
+        function = FUNCTIONS[fitted.model].format(axis=row.size_name)
         start = f"{with_unit(fitted.intercept, unit)} + " if fitted.intercept else ""
         text = f"{start}{with_unit(fitted.slope, unit)} x {function}"
     if row.factor != 1:
--- a/tests/test_capacity_measure.py
+++ b/tests/test_capacity_measure.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 
 from grebeproxy.lab.__main__ import main
-from grebeproxy.lab.capacity.measure import connections, engine_list, start, statement, whole
+from grebeproxy.lab.capacity.measure import cold, connections, engine_list, start, statement, whole
 from grebeproxy.lab.capacity.measure.process import RouterProcess
 from grebeproxy.lab.capacity.measure.workload import Statements, engine_entries, settings
 from grebeproxy.lab.record import load_record
@@ -23,6 +23,7 @@
     monkeypatch.setattr(whole, "WINDOW", 0.6)
     monkeypatch.setattr(connections, "IDLE_WINDOW", 0.2)
     monkeypatch.setattr(start, "RUNS", 1)
+    monkeypatch.setattr(cold, "SECONDS", 2.5)
     monkeypatch.setattr(statement, "DECISION_SECONDS", 0.02)
     monkeypatch.setattr(statement, "CODEC_STATEMENTS", 50)
 
@@ -106,3 +107,9 @@
     result = CliRunner().invoke(main, ["measure", "enginelist", "--sizes", sizes])
     assert result.exit_code == 2
     assert "Error" in result.output
+
+
+def test_cold_engines_get_something_and_no_more_than_their_budget() -> None:
+    (point,) = cold.measure((12,))
+    assert 0 < point.values["most_over_bound"] <= 1
+    assert 0 < point.values["sent_share"] < 1
