--- a/grebeproxy/lab/control/fleet.py
+++ b/grebeproxy/lab/control/fleet.py
@@ -16,7 +16,7 @@
 from grebeproxy.lab.control.usage import TRAFFIC_OF_PAYLOAD, Account, Traffic, Usage
 from grebeproxy.membership import Config
 from grebeproxy.membership.model import Address, Fact
-from grebeproxy.membership.wire import Sealed
+from grebeproxy.membership.wire import Sealed, WireError
 from grebeproxy.peers import node
 from grebeproxy.peers.operator_file import Duty, PeersConfig
 from grebeproxy.replica import Limits, Record
@@ -93,6 +93,7 @@
     separated: Callable[[int, int], bool] | None = None
     lease_events: list[LeaseEvent] = field(default_factory=list)
     failure_reports: list[FailureReport] = field(default_factory=list)
+    refused_packets: int = 0
     _rng: Random = field(init=False)
     _order: count[int] = field(init=False)
     _queue: list[tuple[float, int, int, Process | None, bytes]] = field(default_factory=list)
@@ -200,7 +201,11 @@
 
     def _deliver(self, process: Process, packet: bytes) -> None:
         began = process_time_ns()
-        payload = process.sealed.open(packet)
+        try:
+            payload = process.sealed.open(packet)
+        except WireError:
+            self.refused_packets += 1  # as the edge does; the window of numbers has moved on past it
+            return
         effects = process.node.step(self.now, [node.Came(payload)])
         spent = process_time_ns() - began
         usage = process.account.by_traffic[TRAFFIC_OF_PAYLOAD[payload[0]]]
--- a/grebeproxy/lab/control/outage.py
+++ b/grebeproxy/lab/control/outage.py
@@ -50,7 +50,8 @@
 def _all_restart(size: int, seed: int) -> dict[str, float]:
     fleet = Fleet(size, seed)
     fleet.start(*range(size))
-    return _values("all_restart", _watch(fleet, range(size), lambda: fleet.agree(range(size))))
+    watched = _watch(fleet, range(size), lambda: fleet.agree(range(size)))
+    return {**_values("all_restart", watched), "all_restart_refused_packets": fleet.refused_packets}
 
 
 def _rack_fails(size: int, seed: int) -> dict[str, float]:
--- a/tests/test_lab_control.py
+++ b/tests/test_lab_control.py
@@ -11,11 +11,11 @@
 
 from grebeproxy.lab.__main__ import main
 from grebeproxy.lab.control import handover, lease, membership, memory, outage, replica
-from grebeproxy.lab.control.fleet import DUTY, KEY_NAME, Fleet, Network, NotReachedError, name, zone
+from grebeproxy.lab.control.fleet import DUTY, KEY_NAME, Fleet, Network, NotReachedError, address, name, zone
 from grebeproxy.lab.control.usage import TRAFFIC_OF_PAYLOAD, Traffic, Usage
 from grebeproxy.lab.record import load_record
-from grebeproxy.membership.model import Condition
-from grebeproxy.membership.wire import Sealed
+from grebeproxy.membership.model import Condition, Fact, Kind, Message, State
+from grebeproxy.membership.wire import WINDOW, Sealed, packed
 from grebeproxy.peers import node
 from grebeproxy.replica import Limits
 
@@ -28,6 +28,11 @@
     return fleet
 
 
+def ping(sender: int, target: int) -> list[object]:
+    fact = Fact(name(sender), address(sender), 1, 0, State.ALIVE)
+    return [node.MEMBER, packed(Message(Kind.PING, fact, number=1, target=name(target)))]
+
+
 def counts(fleet: Fleet) -> list[Usage]:
     """What each router used, without processor time, which no two runs share."""
     usage = [fleet.usage([router]) for router in sorted(fleet.processes)]
@@ -93,6 +98,20 @@
     assert lost.packets_received / lost.packets_sent == pytest.approx(0.8, abs=0.03)
 
 
+def test_a_packet_that_is_late_by_more_than_the_window_is_refused_and_counted() -> None:
+    fleet = acquainted()
+    sender = fleet.processes[1]
+    fleet._send(sender, address(0), ping(1, 0))
+    sender.sealed._number += WINDOW  # what it has sent to others meanwhile
+    fleet._send(sender, address(0), ping(1, 0))
+    fleet._queue.sort(key=lambda entry: (entry[3] is not None, -entry[1]))  # the later one comes first
+    arrivals = [entry for entry in fleet._queue if entry[3] is None]
+    before = fleet.usage([0]).packets_received
+    for _, _, router, _, packet in arrivals:
+        fleet._deliver(fleet.processes[router], packet)
+    assert (fleet.usage([0]).packets_received - before, fleet.refused_packets) == (1, 1)
+
+
 def test_the_same_seed_gives_the_same_run_and_another_one_does_not() -> None:
     fleets = [acquainted(seed=seed) for seed in (7, 7, 8)]
     for fleet in fleets:
