--- a/tests/test_lab_control.py
+++ b/tests/test_lab_control.py
@@ -100,15 +100,15 @@
 
 def test_a_packet_that_is_late_by_more_than_the_window_is_refused_and_counted() -> None:
     fleet = acquainted()
+    fleet._queue.clear()
     sender = fleet.processes[1]
     fleet._send(sender, address(0), ping(1, 0))
     sender.sealed._number += WINDOW  # what it has sent to others meanwhile
     fleet._send(sender, address(0), ping(1, 0))
-    fleet._queue.sort(key=lambda entry: (entry[3] is not None, -entry[1]))  # the later one comes first
-    arrivals = [entry for entry in fleet._queue if entry[3] is None]
+    first, late = sorted(fleet._queue, key=lambda arrival: arrival[1], reverse=True)
     before = fleet.usage([0]).packets_received
-    for _, _, router, _, packet in arrivals:
-        fleet._deliver(fleet.processes[router], packet)
+    for *_, packet in (first, late):
+        fleet._deliver(fleet.processes[0], packet)
     assert (fleet.usage([0]).packets_received - before, fleet.refused_packets) == (1, 1)
 
 
