--- a/grebeproxy/lab/capacity/measure/command.py
+++ b/grebeproxy/lab/capacity/measure/command.py
@@ -69,6 +69,12 @@
     statement.ENGINES,
     lambda sizes, seed: statement.measure(sizes, seed=seed),
 )
+add(
+    "routers",
+    "CPU of deciding one statement, against routers, before 400 engines.",
+    statement.ROUTERS_OF_ONE_LIST,
+    lambda sizes, seed: statement.against_routers(sizes, seed),
+)
 add(
     "rates",
     "CPU of a whole statement in a real process against statements a second, with few engines.",
--- a/grebeproxy/lab/capacity/measure/statement.py
+++ b/grebeproxy/lab/capacity/measure/statement.py
@@ -19,6 +19,7 @@
 
 ROUTERS = (200, 2400)
 ENGINES = (80, 200, 400, 800, 1600, 3200)
+ROUTERS_OF_ONE_LIST, ONE_LIST = (24, 200, 600, 1200, 2400), 400  # routers before one list of so many engines
 RUNS = 3
 CODEC_STATEMENTS = 1000
 DECISION_SECONDS = 1.0  # of CPU in one run of decisions, about
@@ -37,6 +38,14 @@
     return points
 
 
+def against_routers(routers: Iterable[int] = ROUTERS_OF_ONE_LIST, seed: int = 1) -> list[Point]:
+    """One point for each number of routers, before one list of engines."""
+    return [
+        Point({"routers": count, "engines": ONE_LIST}, {"decide_us": decide_us(ONE_LIST, count, seed)})
+        for count in routers
+    ]
+
+
 def codec_parts(seed: int) -> dict[str, float]:
     """Microseconds of CPU of each codec for one statement."""
     statements = Statements(seed)
