--- a/grebeproxy/lab/capacity/figures.py
+++ b/grebeproxy/lab/capacity/figures.py
@@ -31,6 +31,7 @@
     target: float = 0.0
     budget: float | None = None
     record: Record | None = None
+    measured: float | None = None  # at the target itself, where that was one of the sizes
 
     @property
     def times_budget(self) -> float | None:
@@ -110,7 +111,9 @@
         except FitError as error:
             raise FigureError(f"{row.id}: {row.record}: {row.metric} over {row.axis}: {error}") from None
         target = self.number(row.id, row.target)
-        return Figure(row, fitted.at(target) * row.factor, fitted, target, budget, record)
+        there = [point.values[row.metric] for point in points if point.sizes[row.axis] == target]
+        measured = sum(there) / len(there) * row.factor if there else None
+        return Figure(row, fitted.at(target) * row.factor, fitted, target, budget, record, measured)
 
     def _record(self, row: Row) -> Record:
         if row.record not in self._records:
--- a/grebeproxy/lab/capacity/fit.py
+++ b/grebeproxy/lab/capacity/fit.py
@@ -1,4 +1,8 @@
-"""Least-squares fits of measured points, and how far they are carried beyond them."""
+"""Least-squares fits of measured points, and how far they are carried beyond them.
+
+The squares are those of relative errors: sizes span decades, and with absolute errors the largest alone would
+decide.
+"""
 
 from __future__ import annotations
 
@@ -25,10 +29,14 @@
     AFFINE = "affine"
     LOG = "log"
     N_LOG_N = "n log n"
+    INVERSE = "inverse"
     SQUARE = "square"
     POWER = "power"
 
 
+NEEDS_SIZES_ABOVE_ZERO = (Model.LOG, Model.N_LOG_N, Model.INVERSE)
+
+
 @dataclass(frozen=True, slots=True)
 class Fit:
     """A fitted model.
@@ -85,6 +93,10 @@
     return result
 
 
+def _inverse(x: Vector) -> Vector:
+    return 1.0 / x
+
+
 def _square(x: Vector) -> Vector:
     return x * x
 
@@ -95,33 +107,47 @@
     Model.LOG: _log,
     Model.N_LOG_N: _n_log_n,
     Model.SQUARE: _square,
+    Model.INVERSE: _inverse,
 }
 
 
 def _least_squares(model: Model, x: Vector, y: Vector) -> tuple[float, float]:
-    """Intercept and slope; one of them is zero where the model has none."""
+    """Intercept and slope with the least relative errors; one of them is zero where the model has none."""
+    if model in NEEDS_SIZES_ABOVE_ZERO and (x <= 0).any():
+        raise FitError(f"{model.value} needs sizes above zero")
+    ones = np.ones_like(x)
     if model is Model.CONSTANT:
-        return float(y.mean()), 0.0
-    if model in (Model.LOG, Model.N_LOG_N) and (x <= 0).any():
-        raise FitError("a logarithm needs sizes above zero")
+        (intercept,) = _weighted(ones[:, None], y)
+        return float(intercept), 0.0
     column = _FUNCTIONS[model](x)
     if model is Model.LINEAR:
-        (slope,), *_ = np.linalg.lstsq(column[:, None], y, rcond=None)
+        (slope,) = _weighted(column[:, None], y)
         return 0.0, float(slope)
-    (intercept, slope), *_ = np.linalg.lstsq(np.column_stack([np.ones_like(x), column]), y, rcond=None)
+    intercept, slope = _weighted(np.column_stack([ones, column]), y)
     nothing = abs(intercept) < ROUNDING * np.abs(y).max()
     return (0.0 if nothing else float(intercept)), float(slope)
 
 
+def _weighted(columns: Vector, y: Vector) -> Vector:
+    """The factors of the columns with the least squares of relative errors."""
+    weights = 1.0 / _scale(y)
+    factors, *_ = np.linalg.lstsq(columns * weights[:, None], y * weights, rcond=None)
+    return np.asarray(factors, dtype=np.float64)
+
+
+def _scale(y: Vector) -> Vector:
+    """What errors are relative to: each value, or one where it is zero."""
+    return np.where(y == 0, 1.0, np.abs(y))
+
+
 def _power(x: Vector, y: Vector) -> tuple[float, float]:
     """Factor and exponent, fitted on logarithms."""
     if (x <= 0).any() or (y <= 0).any():
         raise FitError("a power needs sizes and values above zero")
-    intercept, exponent = _least_squares(Model.LOG, x, np.log(y))
-    return float(np.exp(intercept)), exponent
+    exponent, intercept = np.polyfit(np.log(x), np.log(y), 1)
+    return float(np.exp(intercept)), float(exponent)
 
 
 def _relative_rms(fitted: Fit, x: Vector, y: Vector) -> float:
     expected = np.array([fitted.at(size) for size in x])
-    scale = np.where(y == 0, 1.0, np.abs(y))
-    return float(np.sqrt(np.mean(((y - expected) / scale) ** 2)))
+    return float(np.sqrt(np.mean(((y - expected) / _scale(y)) ** 2)))
--- a/grebeproxy/lab/capacity/page.py
+++ b/grebeproxy/lab/capacity/page.py
@@ -2,8 +2,8 @@
 
 Placeholders of the template, ``docs/capacity/page.md``, in double braces:
 
-- ``target:NAME``, ``figure:ROW.FIELD`` (``value``, ``budget``, ``times``, ``slope``, ``residual`` or
-  ``beyond``);
+- ``target:NAME``, ``figure:ROW.FIELD`` (``value``, ``budget``, ``times``, ``slope``, ``residual``,
+  ``beyond``, or ``measured`` where the target was one of the sizes);
 - ``table:ROLE`` (what the role takes, and the evidence), ``ranking:STAGE``, ``choice:STAGE``, with
   ``before`` or ``now`` as the stage;
 - ``bounds``, ``records``;
@@ -140,6 +140,8 @@
             return with_unit(figure.budget, figure.row.unit)
         if field == "times" and figure.times_budget is not None:
             return shown(figure.times_budget)
+        if field == "measured" and figure.measured is not None:
+            return with_unit(figure.measured, figure.row.unit)
         if field == "slope" and fitted is not None:
             return with_unit(fitted.slope, figure.row.metric_unit or figure.row.unit)
         if field == "residual" and fitted is not None:
--- a/grebeproxy/lab/capacity/tables.py
+++ b/grebeproxy/lab/capacity/tables.py
@@ -16,6 +16,7 @@
     Model.LOG: "ln({axis})",
     Model.N_LOG_N: "{axis} x ln({axis})",
     Model.SQUARE: "{axis} squared",
+    Model.INVERSE: "1 / ({axis})",
 }
 PATHS = {"statement": "every statement", "control": "every router's control", "other": "other"}
 STAGES = {Stage.BOTH: "", Stage.BEFORE: " (before)", Stage.NOW: " (now)"}
@@ -36,6 +37,8 @@
 def _verdict(figure: Figure) -> tuple[str, ...]:
     row = figure.row
     value = with_unit(figure.value, row.unit)
+    if figure.measured is not None:
+        value += f" (measured {with_unit(figure.measured, row.unit)})"
     if row.assumption:
         value += " (assumption)"
     mechanism = f"**missing**: {row.without}" if row.without else row.mechanism
@@ -77,12 +80,14 @@
     where = "".join(f", at {shown(value)} {name}" for name, value in row.where.items())
     measured = f"{sizes} {row.size_name}{where}" + (f" ({row.short})" if row.short else "")
     source = f"`{row.record}`, `{row.metric}`" + (f"; {row.assumption}" if row.assumption else "")
-    carried = f"to {shown(figure.target)} {row.size_name}, {_beyond(figure.fit, figure.target)}"
+    carried = f"to {shown(figure.target)} {row.size_name}, {_beyond(figure, figure.fit)}"
     return (title(row), source, measured, fit_text(row, figure.fit), percent(figure.fit.residual), carried)
 
 
-def _beyond(fitted: Fit, target: float) -> str:
-    times = fitted.beyond(target)
+def _beyond(figure: Figure, fitted: Fit) -> str:
+    if figure.measured is not None:
+        return "measured there"
+    times = fitted.beyond(figure.target)
     return "within what was measured" if times <= 1 else f"{shown(times)} times the largest"
 
 
@@ -103,7 +108,7 @@
     """The fitted formula with units, what it is multiplied by, and why where it is not a straight line."""
     unit = row.metric_unit or row.unit
     if fitted.model is Model.CONSTANT:
-        text = f"{with_unit(fitted.intercept, unit)}, the mean"
+        text = f"{with_unit(fitted.intercept, unit)}, the same at all sizes"
     elif fitted.model is Model.POWER:
         text = f"{with_unit(fitted.slope, unit)} x {row.size_name} to the power of {shown(fitted.exponent)}"
     else:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -175,6 +175,7 @@
         (Model.LINEAR, lambda n: 3.0 * n),
         (Model.SQUARE, lambda n: 5.0 + 0.5 * n * n),
         (Model.POWER, lambda n: 2.0 * n**1.5),
+        (Model.INVERSE, lambda n: 3.0 + 5.0 / n),
     ],
 )
 def test_a_model_finds_its_own_curve_without_residual(model: Model, value: Callable[[float], float]) -> None:
@@ -188,8 +189,13 @@
     assert fit(Model.LINEAR, SIZES, [size * size for size in SIZES]).residual > 0.3
 
 
-@pytest.mark.parametrize("model", [Model.LOG, Model.N_LOG_N, Model.POWER])
-def test_a_logarithm_refuses_a_size_of_zero(model: Model) -> None:
+def test_small_sizes_count_as_much_as_large_ones() -> None:
+    found = fit(Model.AFFINE, (1.0, 10.0, 100.0, 1000.0, 10000.0), (2.0, 11.0, 101.0, 1001.0, 20001.0))
+    assert found.at(1.0) == pytest.approx(2.0, rel=0.3)
+
+
+@pytest.mark.parametrize("model", [Model.LOG, Model.N_LOG_N, Model.INVERSE, Model.POWER])
+def test_a_size_of_zero_is_refused_where_it_cannot_be(model: Model) -> None:
     with pytest.raises(FitError):
         fit(model, [0.0, 1.0, 2.0, 3.0], [1.0, 2.0, 3.0, 4.0])
 
@@ -203,6 +209,13 @@
     figure = figures(tmp_path, one, fleet=400, cpu_budget=1200).of("a")
     assert figure.value == pytest.approx(2400.0)
     assert figure.times_budget == pytest.approx(2.0) and figure.over_budget
+    assert figure.measured is None
+
+
+def test_what_was_measured_at_the_target_itself_is_told(tmp_path: Path) -> None:
+    save_record(tmp_path, lambda n: 2.0 * n if n < 160 else 500.0)
+    one = row(record="made.json", metric="cpu", axis="n", target=160, factor=3)
+    assert figures(tmp_path, one).of("a").measured == 1500.0
 
 
 @pytest.mark.parametrize(
