--- a/grebeproxy/lab/capacity/page.py
+++ b/grebeproxy/lab/capacity/page.py
@@ -7,7 +7,8 @@
 - ``table:ROLE`` (what the role takes, and the evidence), ``ranking:STAGE``, ``choice:STAGE``, with
   ``before`` or ``now`` as the stage;
 - ``bounds``, ``records``;
-- ``include:FILE``, a file of ``docs/capacity`` whose placeholders are replaced as well.
+- ``include:FILE``, a file of ``docs/capacity`` whose placeholders are replaced as well; ``optional:FILE``, the
+  same, or a sentence where it is not there.
 """
 
 from __future__ import annotations
@@ -120,6 +121,7 @@
             "bounds": lambda _: tables.bounds_table(self.bounds, self.figures),
             "records": lambda _: tables.records_table(self._records()),
             "include": self._included,
+            "optional": self._included_if_there,
         }
         if kind not in renderers:
             raise PageError(f"{{{{{placeholder}}}}}: not known")
@@ -168,13 +170,16 @@
     def _included(self, file: str) -> str:
         return self._filled((self.folder / file).read_text()).rstrip("\n")
 
+    def _included_if_there(self, file: str) -> str:
+        return self._included(file) if (self.folder / file).exists() else "Not written yet."
+
     def _template_problems(self) -> list[str]:
         """Figures typed into the template, or the tables of what it includes: they follow from no record."""
         template = (self.folder / TEMPLATE).read_text()
         problems = _typed_figures(TEMPLATE, template.splitlines())
         for placeholder in PLACEHOLDER.findall(template):
             kind, _, file = placeholder.strip().partition(":")
-            if kind == "include" and (self.folder / file).exists():
+            if kind in ("include", "optional") and (self.folder / file).exists():
                 lines = (self.folder / file).read_text().splitlines()
                 problems += _typed_figures(file, [line if line.startswith("|") else "" for line in lines])
         return problems
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -143,6 +143,17 @@
     assert result.exit_code == 1 and "more.md:3" in result.output
 
 
+def test_an_optional_file_that_is_not_there_is_said_so(docs: Path) -> None:
+    with (docs / "capacity" / "page.md").open("a") as template:
+        template.write("\n{{optional:none.md}}\n")
+    Page(docs).write()
+    assert (docs / "CAPACITY.md").read_text().rstrip().endswith("Not written yet.")
+    (docs / "capacity" / "none.md").write_text("It is {{target:zones}}.\n")
+    assert check(docs).exit_code == 1
+    Page(docs).write()
+    assert (docs / "CAPACITY.md").read_text().rstrip().endswith("It is 6.")
+
+
 def test_a_stale_bound_fails_the_check(docs: Path) -> None:
     path = docs / "capacity" / "bounds" / "data.toml"
     path.write_text(path.read_text().replace("value = 1024", "value = 1025"))
