--- a/grebeproxy/lab/capacity/figures.py
+++ b/grebeproxy/lab/capacity/figures.py
@@ -126,7 +126,7 @@
 
 def _selected(row: Row, sizes: Mapping[str, float], values: Mapping[str, float]) -> bool:
     fits = all(sizes.get(name) == size for name, size in row.where.items())
-    return fits and row.metric in values and row.axis in sizes
+    return fits and row.metric in values and sizes.get(row.axis, -1) >= row.from_size
 
 
 def evidence_problems(figure: Figure) -> list[str]:
@@ -145,6 +145,8 @@
         problems.append(
             f"the largest size, {measured[-1]:g}, is below a tenth of the target {figure.target:g}"
         )
+    if row.from_size and not row.why:
+        problems.append("small sizes are left out, and `why` does not say why")
     if row.fit not in STRAIGHT and not row.why:
         problems.append(f"fitted as {row.fit.value}, and `why` does not say why")
     return [f"{row.id}: {problem}" for problem in problems]
--- a/grebeproxy/lab/capacity/page.py
+++ b/grebeproxy/lab/capacity/page.py
@@ -7,8 +7,8 @@
 - ``table:ROLE`` (what the role takes, and the evidence), ``ranking:STAGE``, ``choice:STAGE``, with
   ``before`` or ``now`` as the stage;
 - ``bounds``, ``records``;
-- ``include:FILE``, a file of ``docs/capacity`` whose placeholders are replaced as well; ``optional:FILE``, the
-  same, or a sentence where it is not there.
+- ``include:FILE``, a file of ``docs/capacity`` whose placeholders are replaced as well;
+  ``optional:FILE``, the same, or a sentence where it is not there.
 """
 
 from __future__ import annotations
--- a/grebeproxy/lab/capacity/rows.py
+++ b/grebeproxy/lab/capacity/rows.py
@@ -71,6 +71,7 @@
     axis: str = ""
     axis_unit: str = ""
     where: Mapping[str, Number] = field(default_factory=dict)
+    from_size: Number = 0  # smaller points are left out; ``why`` says why
     fit: Model = Model.AFFINE
     why: str = ""
     metric_unit: str = ""
