--- a/tests/test_capacity_measure.py
+++ b/tests/test_capacity_measure.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
+import time
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
 import pytest
 from click.testing import CliRunner
 
+from grebeproxy import Choice
 from grebeproxy.lab.__main__ import main
 from grebeproxy.lab.capacity.measure import cold, connections, engine_list, start, statement, whole
 from grebeproxy.lab.capacity.measure.process import RouterProcess
@@ -15,6 +17,7 @@
 from grebeproxy.lab.record import load_record
 from grebeproxy.net import msgpack_rpc
 from grebeproxy.net.messages import Call
+from grebeproxy.policy import interface as api
 
 
 @pytest.fixture(autouse=True)
@@ -57,12 +60,27 @@
     assert {zones.count(zone) for zone in zones} == {10}
 
 
-def test_deciding_costs_more_before_more_engines() -> None:
-    few, many = statement.measure(engines=(8, 300), routers=(12,))
-    assert many.values["decide_us"] > 2 * few.values["decide_us"]
+class Slow(Choice):
+    """Takes two milliseconds of CPU more for each call."""
+
+    def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
+        until = time.process_time() + 0.002
+        while time.process_time() < until:
+            pass
+        return super().handle(now, events)
+
+
+def test_what_the_module_takes_is_counted_for_a_query_and_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
+    usual = statement.decide_us(8, 12, seed=1)
+    monkeypatch.setattr(statement, "Choice", Slow)
+    assert 0 < usual < 4000 < statement.decide_us(8, 12, seed=1)
+
+
+def test_a_statement_is_the_sum_of_its_parts() -> None:
+    (point,) = statement.measure(engines=(8,), routers=(12,))
     parts = ("decode_us", "send_us", "read_us", "answer_us", "decide_us")
-    assert few.values["sum_us"] == pytest.approx(sum(few.values[part] for part in parts))
-    assert min(few.values.values()) > 0
+    assert point.values["sum_us"] == pytest.approx(sum(point.values[part] for part in parts))
+    assert min(point.values.values()) > 0
 
 
 def test_an_engine_list_grows_by_one_record_for_each_engine() -> None:
