--- a/grebeproxy/lab/capacity/figures.py
+++ b/grebeproxy/lab/capacity/figures.py
@@ -31,6 +31,7 @@
     target: float = 0.0
     budget: float | None = None
     record: Record | None = None
+    measured: float | None = None  # at the target itself, where that was one of the sizes
 
     @property
     def times_budget(self) -> float | None:
@@ -110,7 +111,9 @@
         except FitError as error:
             raise FigureError(f"{row.id}: {row.record}: {row.metric} over {row.axis}: {error}") from None
         target = self.number(row.id, row.target)
-        return Figure(row, fitted.at(target) * row.factor, fitted, target, budget, record)
+        there = [point.values[row.metric] for point in points if point.sizes[row.axis] == target]
+        measured = sum(there) / len(there) * row.factor if there else None
+        return Figure(row, fitted.at(target) * row.factor, fitted, target, budget, record, measured)
 
     def _record(self, row: Row) -> Record:
         if row.record not in self._records:
@@ -123,7 +126,7 @@
 
 def _selected(row: Row, sizes: Mapping[str, float], values: Mapping[str, float]) -> bool:
     fits = all(sizes.get(name) == size for name, size in row.where.items())
-    return fits and row.metric in values and row.axis in sizes
+    return fits and row.metric in values and sizes.get(row.axis, -1) >= row.from_size
 
 
 def evidence_problems(figure: Figure) -> list[str]:
@@ -142,6 +145,8 @@
         problems.append(
             f"the largest size, {measured[-1]:g}, is below a tenth of the target {figure.target:g}"
         )
+    if row.from_size and not row.why:
+        problems.append("small sizes are left out, and `why` does not say why")
     if row.fit not in STRAIGHT and not row.why:
         problems.append(f"fitted as {row.fit.value}, and `why` does not say why")
     return [f"{row.id}: {problem}" for problem in problems]
