--- a/grebeproxy/lab/__main__.py
+++ b/grebeproxy/lab/__main__.py
@@ -4,6 +4,9 @@
 
 import click
 
+from grebeproxy.lab.capacity.command import capacity
+from grebeproxy.lab.capacity.measure.command import measure
+from grebeproxy.lab.control.command import control
 from grebeproxy.lab.subsets.command import subsets
 
 
@@ -12,6 +15,9 @@
     """Measure the project at fleet size, and check the capacity page against the measurements."""
 
 
+main.add_command(capacity)
+main.add_command(measure)
+main.add_command(control)
 main.add_command(subsets)
 
 
