--- a/grebeproxy/lab/scale/command.py
+++ b/grebeproxy/lab/scale/command.py
@@ -13,6 +13,7 @@
 
 from grebeproxy.lab.record import record_now
 from grebeproxy.lab.scale.changelog_run import run_changelog
+from grebeproxy.lab.scale.membership_run import run_membership
 from grebeproxy.lab.scale.processes import WorkerError
 from grebeproxy.lab.scale.run import Options, Outcome, Progress, RunError
 from grebeproxy.lab.scale.table import table
@@ -21,9 +22,9 @@
 USAGE_STATUS, FAILED_STATUS, TERMINATED_STATUS = 2, 1, 143
 
 Run = Callable[[Options, Progress], Outcome]
-RUNS: dict[str, Run] = {"changelog": run_changelog}
-DEFAULT_SIZES = {"changelog": "50,200,800,2400"}
-DEFAULT_ENGINES = {"changelog": "80,400,1600,3200"}
+RUNS: dict[str, Run] = {"changelog": run_changelog, "membership": run_membership}
+DEFAULT_SIZES = {"changelog": "50,200,800,2400", "membership": "50,100,200,400"}
+DEFAULT_ENGINES = {"changelog": "80,400,1600,3200", "membership": "1"}
 
 
 class Usage(click.ClickException):
--- a/grebeproxy/lab/scale/run.py
+++ b/grebeproxy/lab/scale/run.py
@@ -147,7 +147,7 @@
             raise SizeNotReachedError(f"memory: {held_mb:.0f} MB of {self._options.memory_mb} MB")
 
     def wait(self, done: Callable[[], bool], what: str, most_s: float | None = None) -> float:
-        """Wait until something holds; how long it took. Raises ``SizeNotReachedError`` where it does not come."""
+        """Wait until something holds; tell how long it took. Raises ``SizeNotReachedError``."""
         began = time.monotonic()
         most_s = self._options.wait_s if most_s is None else most_s
         while not done():
--- /dev/null
+++ b/tests/test_lab_scale_truth.py
@@ -0,0 +1,172 @@
+"""Hollow routers beside real ones: they say as much, in as many bytes, and know the same."""
+
+from __future__ import annotations
+
+import socket
+import time
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+from statistics import fmean
+
+import pytest
+from scale_relays import Packet, Relays, versions_told
+
+from grebeproxy.lab.scale.changelog_server import ChangeLog
+from grebeproxy.lab.scale.deployment import DRAINING, EngineRecord, engine_addresses
+from grebeproxy.lab.scale.duty_target import DutyTarget
+from grebeproxy.lab.scale.hollow_routers import HollowRouters, MembershipPlan, RoutersPlan, router_name
+from grebeproxy.lab.scale.processes import Worker, Workers
+from grebeproxy.lab.scale.real_routers import RealRouter, RealRouters
+from grebeproxy.membership.lease import Word
+
+HOLLOW, REAL = 3, 3
+ALL = HOLLOW + REAL
+ENGINES = 40
+WINDOW_S = 10.0
+MOST_DIFFERENCE = 0.25  # of packets and of bytes a router, between the means of hollow and of real ones
+MOST_LIFE_FRAMES = 2  # by which connections to the change log may differ over a window: one at each end
+LIFE_FRAME_BYTES = 13
+MOST_MARKS = 2  # by which the copies of two routers may be apart
+
+
+@dataclass(frozen=True)
+class Stage:
+    relays: Relays
+    log: Worker
+    hollow: Worker
+    real: Worker
+    names: list[str]
+
+    def views(self) -> dict[str, tuple[str, str]]:
+        """Members and condition as each router sees them."""
+        seen = {name: (" ".join(told[0]), told[1]) for name, told in self.hollow.call("views").items()}
+        return seen | {name: (told[0], told[2]) for name, told in self.real.call("views").items()}
+
+
+def until(wanted: Callable[[], bool], what: str, most_s: float = 40.0) -> None:
+    began = time.monotonic()
+    while not wanted():
+        assert time.monotonic() - began < most_s, f"{what}: not within {most_s} s"
+        time.sleep(0.1)
+
+
+def free_port(kind: socket.SocketKind) -> int:
+    with socket.socket(socket.AF_INET, kind) as taken:
+        taken.bind(("127.0.0.1", 0))
+        port: int = taken.getsockname()[1]
+        return port
+
+
+@pytest.fixture
+def stage() -> Iterator[Stage]:
+    relays = Relays(ALL)
+    try:
+        with Workers() as workers:
+            yield start(relays, workers)
+    finally:
+        relays.close()
+
+
+def start(relays: Relays, workers: Workers) -> Stage:
+    records = [EngineRecord(number, at) for number, at in enumerate(engine_addresses(ENGINES), 1)]
+    log, duty = workers.start(ChangeLog, records), workers.start(DutyTarget)
+    changelog = log.call("listen")
+    plan = MembershipPlan(ALL, 0.2, lease_s=1.2, settle_s=0.5, duty_report=duty.call("listen"))
+    seeds = tuple(relays.addresses[:2])
+    hollow = workers.start(HollowRouters, RoutersPlan(0, HOLLOW, ALL, 7, changelog, plan))
+    relays.sockets += hollow.call("addresses")
+    relays.sockets += [("127.0.0.1", free_port(socket.SOCK_DGRAM)) for _ in range(REAL)]
+    names = [router_name(number) for number in range(HOLLOW)]
+    names += [f"r{number:05d}" for number in range(HOLLOW, ALL)]
+    made = [
+        RealRouter(
+            names[number],
+            number,
+            ALL,
+            ("127.0.0.1", free_port(socket.SOCK_STREAM)),
+            changelog,
+            relays.sockets[number],
+            relays.addresses[number],
+            seeds,
+            plan,
+        )
+        for number in range(HOLLOW, ALL)
+    ]
+    real = workers.start(RealRouters, made)
+    hollow.call("configure", [seeds] * HOLLOW, relays.addresses[:HOLLOW])
+    real.send("start")
+    hollow.call("start")
+    real.receive()
+    return Stage(relays, log, hollow, real, names)
+
+
+def agree(hollow: list[float], real: list[float], what: str) -> None:
+    """The means of both kinds are within the bound of each other."""
+    one, other = fmean(hollow), fmean(real)
+    assert min(one, other) > 0.0, f"{what}: hollow {hollow}, real {real}"
+    assert abs(one - other) <= MOST_DIFFERENCE * max(one, other), f"{what}: hollow {hollow}, real {real}"
+
+
+def totals(packets: list[Packet], sender: int, group: str) -> tuple[int, int]:
+    mine = [packet.size for packet in packets if packet.sender == sender and packet.group == group]
+    return len(mine), sum(mine)
+
+
+def compare_packets(packets: list[Packet]) -> None:
+    """Packets and bytes of membership and replica, for each router."""
+    for group in ("membership", "replica"):
+        for position, unit in enumerate(("packets", "bytes")):
+            sent = [float(totals(packets, sender, group)[position]) for sender in range(ALL)]
+            agree(sent[:HOLLOW], sent[HOLLOW:], f"{group} {unit}")
+
+
+def compare_votes(packets: list[Packet]) -> None:
+    """Leases: who asks is drawn by lot, so compared are the answers to an asking, and their bytes."""
+    votes = [packet for packet in packets if packet.group == "leases"]
+    asks = [packet for packet in votes if packet.payload[3][0] == Word.ASK]
+    answers = [packet for packet in votes if packet.payload[3][0] in (Word.GRANT, Word.DENY)]
+    share = []
+    for router in range(ALL):
+        asked = sum(packet.receiver == router for packet in asks)
+        answered = [packet.size for packet in answers if packet.sender == router]
+        share.append((len(answered) / max(1, asked), sum(answered) / max(1, asked)))
+    for position, unit in enumerate(("answers to an asking", "bytes of an answer")):
+        part = [figures[position] for figures in share]
+        agree(part[:HOLLOW], part[HOLLOW:], f"leases, {unit}")
+
+
+def test_hollow_and_real_routers_agree_in_messages_bytes_and_state(stage: Stage) -> None:
+    settled = {name: (" ".join(stage.names), "settled") for name in stage.names}
+    until(lambda: stage.views() == settled, "all settled")
+    time.sleep(2.0)  # the lease is held, and the news of the joins are passed on
+
+    # Messages and bytes in a quiet time.
+    began, log_before = time.monotonic(), stage.log.call("bytes_by_port")
+    time.sleep(WINDOW_S)
+    log_after, packets = stage.log.call("bytes_by_port"), stage.relays.between(began, time.monotonic())
+    compare_packets(packets)
+    compare_votes(packets)
+    assert len(log_before) == ALL and log_before.keys() == log_after.keys()
+    read = [log_after[port] - log_before[port] for port in log_before]
+    assert max(read) - min(read) <= MOST_LIFE_FRAMES * LIFE_FRAME_BYTES and min(read) > 0, read
+
+    # The same copies of what all say: the same origins, in the same lives, a mark or two apart.
+    told = [versions_told(packets, sender) for sender in range(ALL)]
+    assert {frozenset(versions) for versions in told} == {frozenset(stage.names)}
+    for origin in stage.names:
+        held = [versions[origin] for versions in told]
+        assert len({version[:2] for version in held}) == 1
+        assert max(top for _, _, top in held) - min(top for _, _, top in held) <= MOST_MARKS
+
+    # The engine list: after two changes all ask for what comes after the last of them.
+    for number in (1, 2):
+        published = stage.log.call("set_state", [number], DRAINING)
+    until(lambda: len(stage.hollow.call("applied", published.seq)) == HOLLOW, "the change at hollow routers")
+    time.sleep(0.5)
+    stage.log.call("disconnect_all")
+    until(lambda: stage.log.call("hellos") == [published.seq] * ALL, "all connected anew after the change")
+
+    # One is killed: all the others see the same.
+    stage.hollow.call("kill", [stage.names[0]])
+    rest = {name: (" ".join(stage.names[1:]), "settled") for name in stage.names[1:]}
+    until(lambda: stage.views() == rest, "all settled without the killed one")
