--- a/grebeproxy/lab/scale/real_routers.py
+++ b/grebeproxy/lab/scale/real_routers.py
@@ -92,13 +92,14 @@
 class RealRouters:
     """The service: the routers of one run; they end with it."""
 
-    def __init__(self, routers: list[RealRouter]) -> None:
+    def __init__(self) -> None:
         self._folder = tempfile.TemporaryDirectory(prefix="grebeproxy-scale-")
-        self._routers = routers
+        self._routers: list[RealRouter] = []
         self._processes: list[subprocess.Popen[bytes]] = []
 
-    async def start(self) -> list[int]:
-        """Start all and wait until they serve; their process ids."""
+    async def start(self, routers: list[RealRouter]) -> list[int]:
+        """Start these and wait until they serve; their process ids."""
+        self._routers = routers
         self._processes = [self._launch(router) for router in self._routers]
         for router in self._routers:
             await self._serving(router)
