--- a/grebeproxy/lab/scale/deployment.py
+++ b/grebeproxy/lab/scale/deployment.py
@@ -129,9 +129,9 @@
 
 def settings_json(routers: int, index: int) -> dict[str, Any]:
     """The settings of one router of so many, as its configuration file holds them."""
-    told = copy.deepcopy(_SETTINGS)
-    told["balancers"], told["me"], told["zone"] = routers, index, ZONES[index % len(ZONES)]
-    return told
+    fields = copy.deepcopy(_SETTINGS)
+    fields["balancers"], fields["me"], fields["zone"] = routers, index, ZONES[index % len(ZONES)]
+    return fields
 
 
 def settings(routers: int, index: int) -> Settings:
--- a/grebeproxy/lab/scale/hollow_routers.py
+++ b/grebeproxy/lab/scale/hollow_routers.py
@@ -87,11 +87,6 @@
         if plan.membership is not None:
             self.bind()
 
-    @property
-    def running(self) -> bool:
-        """It was started and not killed since."""
-        return self.watcher is not None or self.member is not None
-
     def bind(self) -> None:
         """Take the address where the others reach it."""
         self._socket = bound_socket(self.address)
@@ -208,17 +203,10 @@
                 seen[router.name] = (view.members, view.condition.value)
         return seen
 
-    def conditions(self) -> dict[str, int]:
-        """How many routers see which condition."""
-        counts: dict[str, int] = {}
-        for _, condition in self.views().values():
-            counts[condition] = counts.get(condition, 0) + 1
-        return counts
-
-    def told_since(self, names: list[str], since: float, words: tuple[str, ...]) -> list[float | None]:
+    def learned_since(self, names: list[str], since: float, words: tuple[str, ...]) -> list[float | None]:
         """For each running router, when it had heard of all these members since then; ``None``: not yet."""
         return [
-            _last_told(router.member, names, since, words)
+            _last_learned(router.member, names, since, words)
             for router in self._routers
             if router.member is not None
         ]
@@ -229,10 +217,6 @@
             len(router.member.node.store.records) for router in self._routers if router.member is not None
         ]
 
-    def packets_refused(self) -> int:
-        """Packets that were not taken."""
-        return sum(router.member.refused for router in self._routers if router.member is not None)
-
     def kill(self, names: list[str]) -> float:
         """End some without a word; tells when, on the machine's clock."""
         for router in self._named(names):
@@ -254,7 +238,7 @@
         return [router for router in self._routers if router.name in names]
 
 
-def _last_told(member: Member, names: list[str], since: float, words: tuple[str, ...]) -> float | None:
+def _last_learned(member: Member, names: list[str], since: float, words: tuple[str, ...]) -> float | None:
     last = since
     for name in names:
         at, word = member.changes.get(name, (0.0, ""))
--- a/grebeproxy/lab/scale/member.py
+++ b/grebeproxy/lab/scale/member.py
@@ -82,8 +82,8 @@
                 case node.Wake(at):
                     self._wake(at)
                 case node.Line("member", fields):
-                    told = dict(fields)
-                    self.changes[str(told["name"])] = (time.monotonic(), str(told["what"]))
+                    change = dict(fields)
+                    self.changes[str(change["name"])] = (time.monotonic(), str(change["what"]))
                 case node.Begin(name):
                     self._begin(name)
                 case node.Stop(name):
--- a/grebeproxy/lab/scale/membership_run.py
+++ b/grebeproxy/lab/scale/membership_run.py
@@ -136,22 +136,22 @@
     gone = router_name(size - 1)
     before = fleet.snapshots()
     killed_at: float = fleet.processes[-1].call("kill", [gone])
-    told: list[object] = []
+    times: list[object] = []
 
-    def all_told() -> bool:
-        told[:] = fleet.gather("told_since", [gone], killed_at, FAILED_WORDS)
-        return all(at is not None for at in told)
+    def all_know() -> bool:
+        times[:] = fleet.gather("learned_since", [gone], killed_at, FAILED_WORDS)
+        return all(at is not None for at in times)
 
-    fleet.wait(all_told, "that all know of the killed one")
+    fleet.wait(all_know, "that all know of the killed one")
     time.sleep(options.period_s)
     usage = used_between(before, fleet.snapshots())
-    times = [float(str(at)) - killed_at for at in told]
+    delays = [float(str(at)) - killed_at for at in times]
     fleet.processes[-1].call("restart", [gone])
     fleet.wait(lambda: _all_see(fleet, size), "that the killed one is back")
     time.sleep(CALM_PERIODS * options.period_s)
     return {
-        "kill_first_s": min(times),
-        "kill_last_s": max(times),
+        "kill_first_s": min(delays),
+        "kill_last_s": max(delays),
         **_rates("kill", usage, size),
     }
 
@@ -164,11 +164,11 @@
         process.send("restart", names)
     began = min(float(process.receive()) for process in fleet.processes)
 
-    def all_told() -> bool:
-        told = fleet.gather("told_since", names, began, RETURNED_WORDS)
-        return all(at is not None for at in told) and _all_see(fleet, size)
+    def all_know() -> bool:
+        times = fleet.gather("learned_since", names, began, RETURNED_WORDS)
+        return all(at is not None for at in times) and _all_see(fleet, size)
 
-    fleet.wait(all_told, "that all know of the restarted ones")
+    fleet.wait(all_know, "that all know of the restarted ones")
     last_s = time.monotonic() - began
     usage = used_between(before, fleet.snapshots())
     return {
--- a/grebeproxy/lab/scale/real_routers.py
+++ b/grebeproxy/lab/scale/real_routers.py
@@ -156,10 +156,10 @@
 
     def _view(self, router: RealRouter) -> tuple[str, int, str]:
         lines = (self._home(router) / "out").read_text().splitlines()
-        told = [line for line in map(orjson.loads, lines) if line["event"] == "view"]
-        if not told:
+        seen = [line for line in map(orjson.loads, lines) if line["event"] == "view"]
+        if not seen:
             return "", 0, "none"
-        return told[-1]["members"], told[-1]["count"], told[-1]["condition"]
+        return seen[-1]["members"], seen[-1]["count"], seen[-1]["condition"]
 
 
 def _text(address: Address) -> str:
--- a/tests/scale_relays.py
+++ b/tests/scale_relays.py
@@ -81,7 +81,7 @@
         self._loop.close()
 
 
-def versions_told(packets: Iterable[Packet], sender: int) -> dict[str, tuple[int, int, int]]:
+def digest_versions(packets: Iterable[Packet], sender: int) -> dict[str, tuple[int, int, int]]:
     """What the sender's whole digests told last of each origin: life and the number of changes."""
     told: dict[str, tuple[int, int, int]] = {}
     for packet in packets:
--- a/tests/test_lab_scale_truth.py
+++ b/tests/test_lab_scale_truth.py
@@ -9,7 +9,7 @@
 from statistics import fmean
 
 import pytest
-from scale_relays import Packet, Relays, versions_told
+from scale_relays import Packet, Relays, digest_versions
 
 from grebeproxy.lab.scale.changelog_server import ChangeLog
 from grebeproxy.lab.scale.deployment import DRAINING, EngineRecord, engine_addresses
@@ -151,7 +151,7 @@
     assert max(read) - min(read) <= MOST_LIFE_FRAMES * LIFE_FRAME_BYTES and min(read) > 0, read
 
     # The same copies of what all say: the same origins, in the same lives, a mark or two apart.
-    told = [versions_told(packets, sender) for sender in range(ALL)]
+    told = [digest_versions(packets, sender) for sender in range(ALL)]
     assert {frozenset(versions) for versions in told} == {frozenset(stage.names)}
     for origin in stage.names:
         held = [versions[origin] for versions in told]
