--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -8,6 +8,7 @@
 import sys
 import time
 from collections.abc import Iterator
+from contextlib import suppress
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -232,27 +233,28 @@
             worker.call("pid")
 
 
+SOCKETS = 12 + 3 + 1  # engines, routers and the change log at least
+
+
 def descendants(pid: int) -> set[int]:
-    """All processes below one, the real routers among them."""
+    """All processes below one, the real routers among them; one that ends meanwhile has none."""
     found: set[int] = set()
-    for task in Path(f"/proc/{pid}/task").iterdir():
-        for child in (task / "children").read_text().split():
-            found |= {int(child)} | descendants(int(child))
+    with suppress(OSError):
+        for task in Path(f"/proc/{pid}/task").iterdir():
+            for child in (task / "children").read_text().split():
+                found |= {int(child)} | descendants(int(child))
     return found
 
 
 def sockets(pids: set[int]) -> set[str]:
     """The inodes of sockets that these processes hold."""
-    held = set()
+    links = []
     for pid in pids:
-        for descriptor in Path(f"/proc/{pid}/fd").iterdir():
-            try:
-                target = os.readlink(descriptor)
-            except OSError:
-                continue
-            if target.startswith("socket:["):
-                held.add(target[len("socket:[") : -1])
-    return held
+        with suppress(OSError):
+            for descriptor in Path(f"/proc/{pid}/fd").iterdir():
+                with suppress(OSError):
+                    links.append(os.readlink(descriptor))
+    return {link[len("socket:[") : -1] for link in links if link.startswith("socket:[")}
 
 
 def open_inodes() -> set[str]:
@@ -294,14 +296,12 @@
 ) -> None:
     deadline = time.monotonic() + 30.0
     children: set[int] = set()
-    while len(routers := [p for p in children if is_real_router(p)]) < 3 and time.monotonic() < deadline:
+    held: set[str] = set()
+    while time.monotonic() < deadline and (sum(map(is_real_router, children)) < 3 or len(held) < SOCKETS):
         time.sleep(0.1)
-        children = descendants(fleet_run.pid)
-    assert len(routers) == 3, children
-    time.sleep(0.3)
-    children |= descendants(fleet_run.pid)
-    held = sockets(children) & open_inodes()
-    assert len(held) >= 12 + 3 + 1  # engines, routers and the change log at least
+        children |= descendants(fleet_run.pid)
+        held = sockets(running(children)) & open_inodes()
+    assert sum(map(is_real_router, children)) == 3 and len(held) >= SOCKETS
     fleet_run.send_signal(number)
     assert fleet_run.wait(20.0) != 0
     deadline = time.monotonic() + 20.0
