--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -119,6 +119,26 @@
     assert len(outcome.notes) == 1 and "4 routers with 10 engines: ended by memory" in outcome.notes[0]
 
 
+def test_an_interrupted_run_saves_what_it_has_measured(tmp_path: Path) -> None:
+    path = tmp_path / "record.json"
+    arguments = ["changelog", "--sizes", "2,3", "--engines", "10", "--quiet-s", "0.2", "--json", str(path)]
+    process = subprocess.Popen(
+        [*COMMAND, *arguments], stderr=subprocess.PIPE, stdout=subprocess.PIPE, text=True
+    )
+    try:
+        assert process.stderr is not None
+        for line in process.stderr:
+            if "3 routers" in line:
+                process.terminate()
+        assert process.wait(20.0) == 143
+    finally:
+        process.kill()
+        process.communicate()
+    record = load_record(path)
+    assert [point.sizes["routers"] for point in record.points] == [2.0]
+    assert record.note == "interrupted"
+
+
 # --- the runs
 
 
