--- a/grebeproxy/lab/__main__.py
+++ b/grebeproxy/lab/__main__.py
@@ -7,6 +7,7 @@
 from grebeproxy.lab.capacity.command import capacity
 from grebeproxy.lab.capacity.measure.command import measure
 from grebeproxy.lab.control.command import control
+from grebeproxy.lab.scale.command import scale
 from grebeproxy.lab.subsets.command import subsets
 
 
@@ -19,6 +20,7 @@
 main.add_command(measure)
 main.add_command(control)
 main.add_command(subsets)
+main.add_command(scale)
 
 
 if __name__ == "__main__":
--- a/grebeproxy/lab/capacity/measure/engine_list.py
+++ b/grebeproxy/lab/capacity/measure/engine_list.py
@@ -10,8 +10,8 @@
 from grebeproxy.lab.record import Point
 from grebeproxy.net import admission
 from grebeproxy.net.changelog import CHANGES, HEAD, WHOLE, Decoder
-from grebeproxy.net.events import LogOpened, LogSaid
-from grebeproxy.net.messages import News
+from grebeproxy.net.events import ChangeLogOpened, ChangeLogReceived
+from grebeproxy.net.messages import ChangeLogUpdate
 from grebeproxy.net.router import Router
 from grebeproxy.policy import interface as api
 from grebeproxy.settings import wire_limits_from
@@ -93,13 +93,13 @@
         now=1.0,
     )
     router.start(1.0)
-    router.step(1.0, [LogOpened(1)])
+    router.step(1.0, [ChangeLogOpened(1)])
     return router
 
 
-def _take(router: Router, now: float, news: list[News]) -> None:
+def _take(router: Router, now: float, news: list[ChangeLogUpdate]) -> None:
     """Tell the router, and let it decide by what it was told."""
-    router.step(now, [LogSaid(one) for one in news])
+    router.step(now, [ChangeLogReceived(one) for one in news])
     assert all(one.change is None or isinstance(one.change, api.EngineList) for one in news)
 
 
