--- a/grebeproxy/policy/choice.py
+++ b/grebeproxy/policy/choice.py
@@ -31,7 +31,7 @@
         self.patience = sum(c.aim for c in order) / len(order) / 2  # backlog that is held at full load
         # This gateway's part of each tenant's allowance; a second deep, and what chance arrivals add to that.
         parts = {t.name: t.allowance / settings.balancers for t in settings.tenants}
-        self.shared({n: Share(a, 1.0 + a + 2.0 * a ** 0.5, self.now, HOMES_OVER) for n, a in parts.items()})
+        self.shared({n: Share(a, 1.0 + a + 2.0 * a**0.5, self.now, HOMES_OVER) for n, a in parts.items()})
         self.ranked(order, [c.aim * c.threads / (2 + c.aim_stretch) for c in order], settings.kinds)
         self.weight = [(self.last - i) / max(1, self.last) for i in range(len(order))]
         self.gap = GAP_MARGIN * max(1, self.last)  # urgency grows by 1 in the tightest class's deadline
