--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -321,7 +321,7 @@
 @pytest.mark.parametrize(
     "bound",
     [
-        Bound("grebeproxy.net.admission", "text", name="SPARE", value=48),
+        Bound("grebeproxy.net.admission", "text", name="RESERVED_DESCRIPTORS", value=48),
         Bound("grebeproxy.replica.store", "text", name="Limits.origins", value=1024),
         Bound("grebeproxy.net.admission", "text", line="LINK_SHARE = 3"),
     ],
