--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -298,12 +298,18 @@
     return alive
 
 
+def hear_interrupts() -> None:
+    """A shell starts what runs in the background with SIGINT ignored, and a child inherits that."""
+    signal.signal(signal.SIGINT, signal.SIG_DFL)
+
+
 @pytest.fixture
 def fleet_run(tmp_path: Path) -> Iterator[subprocess.Popen[str]]:
     arguments = ["fleet", "--sizes", "10", "--engines", "12", "--quiet-s", "30"]
     process = subprocess.Popen(
         [*COMMAND, *arguments], stdout=subprocess.DEVNULL, stderr=subprocess.PIPE, text=True, cwd=tmp_path,
         env={**os.environ, "TMPDIR": str(tmp_path), "PYTHONPATH": str(Path(__file__).parent.parent)},
+        preexec_fn=hear_interrupts,
     )  # fmt: skip
     yield process
     process.kill()
