--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -126,7 +126,7 @@
     assert set(looked) == {"e5"}
 
 
-def test_a_zone_comes_first_and_others_follow_where_it_has_too_few() -> None:
+def test_a_subset_has_enough_of_its_own_zone_and_of_others_where_the_zone_has_too_few() -> None:
     gateway = gateway_of(zones=ZONES, zone=ZONES[2])
     zones = Counter(node.entry.zone for node in gateway.choice.up)
     assert zones[ZONES[2]] >= SIZE and SIZE < sum(zones.values()) <= 2 * SIZE
