--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -17,7 +17,7 @@
 
 from members import Net
 
-from grebeproxy.membership import Say
+from grebeproxy.membership import Send
 from grebeproxy.membership.wire import Sealed, packed
 
 
@@ -29,7 +29,7 @@
     def carry_out(self, n, core, effects):  # type: ignore[no-untyped-def]
         """As before, with each packet sealed."""
         sealed = Sealed(b"k" * 16, core.me.instance, 1)
-        self.weight += sum(len(sealed.seal([1, packed(e.message)])) for e in effects if isinstance(e, Say))
+        self.weight += sum(len(sealed.seal([1, packed(e.message)])) for e in effects if isinstance(e, Send))
         super().carry_out(n, core, effects)
 
 
--- a/grebeproxy/membership/__init__.py
+++ b/grebeproxy/membership/__init__.py
@@ -18,7 +18,6 @@
 )
 from grebeproxy.membership.swim import Membership
 
-Say = Send  # the former name, which benchmarks/members.py still imports
 
 __all__ = [
     "Condition",
@@ -31,7 +30,6 @@
     "Message",
     "MessageReceived",
     "Notice",
-    "Say",
     "Send",
     "View",
     "ViewChanged",
--- a/grebeproxy/policy/books.py
+++ b/grebeproxy/policy/books.py
@@ -80,7 +80,6 @@
         self.weights: list[float] = []  # what a query of each class is taken to weigh on a cold engine
         self.heavy = 1.0  # and what is dealt of such an engine at once
         self.part = 1.0  # our traffic over the mean gateway's
-        self.sharing = 1.0  # gateways that share an engine, on the mean
         self.pool = 1.0  # how slow the engines are, over all answers
         self.fill = 0.0  # part of our share of the memory that is granted, over some time
         self.long_lately = 0.0  # our threads of long classes that are out, over some time
@@ -170,7 +169,7 @@
 
     def take_all(self) -> None:
         """Work with all engines, as all gateways do."""
-        self.near, self.spare, self.sharing = set(self.listing), [], float(self.s.balancers)
+        self.near, self.spare = set(self.listing), []
         self._work_with(self.listing)
         for e in self.nodes.values():
             e.sharers, e.number = self.s.balancers, self.s.index
@@ -186,9 +185,9 @@
         fitting = [engine for fit in self.rings[1:] for engine in fit.window(place, 0, self.size)]
         self.near, self.spare = set(near), ring.window(place, self.size, self.widening)
         self._work_with([*near, *fitting, *self.spare])
-        self.sharing = self.s.balancers * min(1.0, base / max(1, len(ring)))
+        sharers = max(1, round(self.s.balancers * min(1.0, base / max(1, len(ring)))))
         for e in self.nodes.values():
-            e.sharers, e.number = max(1, round(self.sharing)), -1
+            e.sharers, e.number = sharers, -1
         for engine in near[:base]:
             e = self.nodes[engine]
             e.sharers, e.number = self.seats.sharers(ring.rank(engine), base, len(ring))
--- a/grebeproxy/policy/choice.py
+++ b/grebeproxy/policy/choice.py
@@ -35,7 +35,7 @@
         self.ranked(order, [c.aim * c.threads / (2 + c.aim_stretch) for c in order], settings.kinds)
         self.weight = [(self.last - i) / max(1, self.last) for i in range(len(order))]
         self.gap = GAP_MARGIN * max(1, self.last)  # urgency grows by 1 in the tightest class's deadline
-        self.pause, self.sharing = max(settings.tick, self.tight.aim / 16), float(settings.balancers)
+        self.pause = max(settings.tick, self.tight.aim / 16)
         own_zone = [(frozenset({settings.zone}), None)] if len(settings.zones) > 1 else []
         self.seated([*own_zone, *((c.only_zones, c.only_kinds) for c in order)])
         self.slot = (settings.rules.overload_time or 1.0) / SLOTS
