--- a/grebeproxy/policy/health.py
+++ b/grebeproxy/policy/health.py
@@ -15,8 +15,11 @@
 
     def _open(self, e: Node, rank: int) -> bool:
         """Ejected engines get single trials, of what may be repeated and is short."""
-        return self.now >= e.shut_until if e.ejected_at is None else (
-            self.now >= e.trial_at and not e.out and not rank and self.tight.effect is Effect.SAFE)
+        return (
+            self.now >= e.shut_until
+            if e.ejected_at is None
+            else (self.now >= e.trial_at and not e.out and not rank and self.tight.effect is Effect.SAFE)
+        )
 
     def _eject(self, e: Node, proven: bool = False) -> None:
         """Stop sending to an engine; a trouble common to most ejects nobody, so that the rest don't drown."""
@@ -27,7 +30,8 @@
         e.ejected_at, e.trial_at = self.now, self.now + e.backoff * (0.75 + 0.5 * self.rng.random())
         for job in e.out.values() if self.s.may_cancel else ():
             if not (job.cancelled or job.answered or job.cls.effect is Effect.UNSAFE) and (
-                    job.attempts < self.s.max_attempts):
+                job.attempts < self.s.max_attempts
+            ):
                 self.cancel(job)
 
     def _count(self, e: Node, bad: bool) -> None:
--- a/grebeproxy/policy/lifecycle.py
+++ b/grebeproxy/policy/lifecycle.py
@@ -46,8 +46,11 @@
         cls, most = job.cls, self.s.max_retry_after
         if job.node is not None and self.s.may_cancel and not job.cancelled:
             self.cancel(job)
-        if cls.effect is Effect.SAFE or (job.ran_at is None and job.node is None) or (
-                cls.effect is Effect.KEYED and cls.scope is Scope.ALL):
+        if (
+            cls.effect is Effect.SAFE
+            or (job.ran_at is None and job.node is None)
+            or (cls.effect is Effect.KEYED and cls.scope is Scope.ALL)
+        ):
             wait = None if most is None else min(most, self.backlog() + self.tight.aim)
             self.out.append(Refuse(job.id, wait))
         else:
@@ -56,7 +59,7 @@
 
     def _worth(self, job: Job) -> float:
         """What the query still earns for a core-second if it is sent now."""
-        ahead = sum(o.run for o in job.turn[:job.turn.index(job)]) if job.turn else 0.0
+        ahead = sum(o.run for o in job.turn[: job.turn.index(job)]) if job.turn else 0.0
         finish = self.now + (job.run + ahead) * self.pools[job.rank]
         if max(finish, self.now + 6 * self.pause) > job.due:  # the sweep must still come round in time
             return 0.0
@@ -67,10 +70,14 @@
         """On the timer: silent engines, what has lost its worth, and what is too much to hold."""
         for e in [e for e in self.nodes.values() if e.out or e.still]:
             # What may stand still behind a load tells nothing by itself, several of it in a row do.
-            silent = (self.now - max(e.heard, j.sent) > j.patience for j in e.out.values()
-                      if not j.cls.waits_for_loads)
+            silent = (
+                self.now - max(e.heard, j.sent) > j.patience
+                for j in e.out.values()
+                if not j.cls.waits_for_loads
+            )
             if e.ejected_at is None and (
-                    any(silent) or (e.still >= STILLS and self.now - e.heard > MUTE * self.tight.aim)):
+                any(silent) or (e.still >= STILLS and self.now - e.heard > MUTE * self.tight.aim)
+            ):
                 self._eject(e)
             for job in list(e.out.values()) if self.s.may_cancel else ():
                 if not job.answered and not job.cls.late_share and self.now > job.aim_at(2.0):
@@ -89,8 +96,11 @@
 
     def _stuck(self, job: Job, e: Node) -> bool:
         """A fresh attempt is to end sooner: guards against bad plans, answers lost and engines stuck."""
-        if not (job.ran_at is None or self._repeatable(job)) or job.cls.effect is Effect.UNSAFE or (
-                job.attempts >= self.s.max_attempts or not self._worth(job) or not self._extra_left()):
+        if (
+            not (job.ran_at is None or self._repeatable(job))
+            or job.cls.effect is Effect.UNSAFE
+            or (job.attempts >= self.s.max_attempts or not self._worth(job) or not self._extra_left())
+        ):
             return False
         if self.s.progress_period:  # its own notes tell; a jam slows a fresh one too
             return job.ends_at - self.now > PATIENCE * job.run * max(1.0, self.pools[job.rank], e.slow)
--- a/grebeproxy/policy/release.py
+++ b/grebeproxy/policy/release.py
@@ -45,8 +45,12 @@
         roomy = [e for e in self.up if self._open(e, rank) and self._room(e, rank)]
         for job in self.held[rank][:SCAN] if roomy else ():
             # Departure: past our share of an engine's memory it waits here, not in its line and not paging.
-            able = [e for e in roomy if self._may_send(job, e) and (
-                not (e.memory and e.out) or e.granted * e.sharers + job.memory <= e.memory)]
+            able = [
+                e
+                for e in roomy
+                if self._may_send(job, e)
+                and (not (e.memory and e.out) or e.granted * e.sharers + job.memory <= e.memory)
+            ]
             if able and (e := self._pick(job, able)) is not None:
                 return job, e
         return None
@@ -64,8 +68,13 @@
             if s.overbooked is Overbooked.SHRINK:  # spare memory is dealt out, as far as estimates scatter
                 grant *= max(1.0, min(1.0 + 2 * self.memories[job.rank].spread, 0.8 / max(self.fill, 0.01)))
             barring = cls.holds_data_set and any(c.waits_for_loads for c in self.order)  # sooner over
-            self.out.append(SetTerms(job.id, 0 if job.over_share else 3 if barring else max(1, 3 - job.rank),
-                                     grant if s.memory_granted and job.memory else None))
+            self.out.append(
+                SetTerms(
+                    job.id,
+                    0 if job.over_share else 3 if barring else max(1, 3 - job.rank),
+                    grant if s.memory_granted and job.memory else None,
+                )
+            )
         e.attach(job, self.now, max(2, 2 * len(self.sets) // len(self.nodes)))
         e.trial_at = self.now + e.backoff  # of one that is ejected
         if self._cold(e):
--- a/grebeproxy/policy/rules.py
+++ b/grebeproxy/policy/rules.py
@@ -20,16 +20,24 @@
         cls, s, entry = job.cls, self.s, e.entry
         if job.answered or job.node is not None or job.attempts >= s.max_attempts or self.now >= job.due:
             return False
-        if not self.usable(e) or entry.zone not in (cls.only_zones or (entry.zone,)) or (
-                entry.kind not in (cls.only_kinds or (entry.kind,))):
+        if (
+            not self.usable(e)
+            or entry.zone not in (cls.only_zones or (entry.zone,))
+            or (entry.kind not in (cls.only_kinds or (entry.kind,)))
+        ):
             return False
         if job.ran_on is not None and cls.effect is not Effect.SAFE:
             first = job.ran_on.entry
-            if not self._repeatable(job) or (cls.scope is Scope.ZONE and first.zone != entry.zone) or (
-                    cls.scope is Scope.CELL and first.cell != entry.cell):
+            if (
+                not self._repeatable(job)
+                or (cls.scope is Scope.ZONE and first.zone != entry.zone)
+                or (cls.scope is Scope.CELL and first.cell != entry.cell)
+            ):
                 return False
-        if job.turn and (job.turn[0] is not job or (
-                not job.attempts and self.now < self.rest.get(job.query.key or "", self.now))):
+        if job.turn and (
+            job.turn[0] is not job
+            or (not job.attempts and self.now < self.rest.get(job.query.key or "", self.now))
+        ):
             return False
         if job.attempts and not self._extra_left():
             return False
