--- a/grebeproxy/policy/health.py
+++ b/grebeproxy/policy/health.py
@@ -79,8 +79,8 @@
         run = ev.work / job.cls.threads if ev.work else job.run
         weight, took = min(0.5, max(0.02, run / self.tight.aim / 4)), min(10.0, ev.latency / max(run, 1e-4))
         slow = took * self._warmth(e)  # a cold one is slow without being crowded
-        if ok or slow > self.paces[self._cold(e)]:  # an error comes soon
-            self.paces[self._cold(e)] += weight * (slow - self.paces[self._cold(e)])
+        if ok or slow > self.paces[self._warming_up(e)]:  # an error comes soon
+            self.paces[self._warming_up(e)] += weight * (slow - self.paces[self._warming_up(e)])
         if ev.outcome is Outcome.CANCELLED and job.cancelled and not job.answered:
             if not job.cls.waits_for_loads:  # one may be badly planned, several tell of a jam
                 self.crowd += weight * max(0.0, slow - self.crowd)
@@ -90,7 +90,7 @@
             return
         if e.ejected_at is not None and job.sent >= e.ejected_at:
             e.ejected_at, e.faults = None, PROBATION  # on probation: the next fault ejects it again
-            if e.unreachable and not self._cold(e):
+            if e.unreachable and not self._warming_up(e):
                 e.cold_since = self.now  # it was down: take it for cold, whatever the list says
             e.unreachable = False
         e.backoff, e.shut = max(self.tight.aim / 2, e.backoff * 0.9) if e.backoff else 0.0, 0.0
--- a/grebeproxy/policy/learned.py
+++ b/grebeproxy/policy/learned.py
@@ -95,16 +95,16 @@
 
     def __init__(self, part: float, depth: float, now: float, over: float) -> None:
         super().__init__(part, depth, now)
-        self.part, self._asked = part, Flow(now, over)
+        self.part, self._requests = part, Flow(now, over)
 
     def take(self, now: float, spend: float) -> bool:
         """Count a first try in, and tell whether it is within the share."""
-        self._asked.add(now, float(spend > 0.0))  # repeats come of refusals, to all gateways at once
+        self._requests.add(now, float(spend > 0.0))  # repeats come of refusals, to all gateways at once
         return super().take(now, spend)
 
     def busier(self, now: float) -> float:
         """What is asked, over the part."""
-        return self._asked.rate(now) / self.part if self.part else 1.0
+        return self._requests.rate(now) / self.part if self.part else 1.0
 
 
 class Flows(dict[int | None, Flow]):
--- a/grebeproxy/policy/lifecycle.py
+++ b/grebeproxy/policy/lifecycle.py
@@ -38,7 +38,7 @@
             job.turn.append(job)
         crowded = self._load() > 0
         self.held[rank].append(job)
-        if not self._worth(job) or (job.over_share and crowded):
+        if not self._priority_weight(job) or (job.over_share and crowded):
             self._give_up(job)  # traffic past a tenant's share goes first when others would wait
 
     def _give_up(self, job: Job) -> None:
@@ -57,7 +57,7 @@
             self.out.append(Fail(job.id))
         self.close(job)
 
-    def _worth(self, job: Job) -> float:
+    def _priority_weight(self, job: Job) -> float:
         """What the query still earns for a core-second if it is sent now."""
         ahead = sum(o.run for o in job.turn[: job.turn.index(job)]) if job.turn else 0.0
         finish = self.now + (job.run + ahead) * self.pools[job.rank]
@@ -85,11 +85,11 @@
                 elif not (job.answered or job.cancelled) and self._stuck(job, e):
                     self.cancel(job)
         for job in [job for queue in self.held for job in queue]:
-            if not self._worth(job):
+            if not self._priority_weight(job):
                 self._give_up(job)
         self.forget()
         if self._load() > 0:  # too much is held: what earns least for its work goes first
-            for job in sorted(self.ready(), key=self._worth):
+            for job in sorted(self.ready(), key=self._priority_weight):
                 if self.backlog() <= self.patience:
                     break
                 self._give_up(job)
@@ -99,7 +99,11 @@
         if (
             not (job.ran_at is None or self._repeatable(job))
             or job.cls.effect is Effect.UNSAFE
-            or (job.attempts >= self.s.max_attempts or not self._worth(job) or not self._extra_left())
+            or (
+                job.attempts >= self.s.max_attempts
+                or not self._priority_weight(job)
+                or not self._extra_left()
+            )
         ):
             return False
         if self.s.progress_period:  # its own notes tell; a jam slows a fresh one too
@@ -129,7 +133,9 @@
         job.avoid = e
         if ev.settled or job.answered:
             self.close(job)
-        elif not self._repeatable(job) or job.attempts >= self.s.max_attempts or not self._worth(job):
+        elif (
+            not self._repeatable(job) or job.attempts >= self.s.max_attempts or not self._priority_weight(job)
+        ):
             self._give_up(job)
         else:
             job.draw = self.draw()
--- a/grebeproxy/policy/placement.py
+++ b/grebeproxy/policy/placement.py
@@ -11,13 +11,13 @@
 
 BOUND, LONG = 2.0, 0.75  # threads per core under pressure; part of them at which long classes stop
 PRESSURE = 1.4  # an engine shows pressure when its latency is this many times its best
-COLD_SET = 0.75  # threads per core that a data set read afresh is worth in the choice of engine
+UNCACHED_DATA_SET_COST = 0.75  # threads per core that a data set read afresh is worth in the choice of engine
 PATIENCE = 4.0  # an engine that has been silent for this many expected run times is suspect
 BARRED = 6.0  # threads per core that a load which holds the data set is worth to what waits for loads
 HOME_FILL = 0.9  # part of the time that loads hold a data set at each of its home engines
 OWN = 1.5  # threads per core over which a gateway's preference among home engines goes
-AWAY = 7.0  # threads per core that each place beyond the home engines is worth to a load
-PROBES = 3  # engines probed before a long query goes to one of them
+BEYOND_HOME_COST = 7.0  # threads per core that each place beyond the home engines is worth to a load
+HEALTH_CHECKS_PER_LONG_QUERY = 3  # engines probed before a long query goes to one of them
 
 
 class Placement(Subset):
@@ -27,17 +27,17 @@
         """Latency well above the engine's best, of what ended or what is still out, or a full refusal."""
         return self.now < e.full_until or max(e.slow, e.lag) > PRESSURE * e.best
 
-    def _room(self, e: Node, rank: int) -> bool:
+    def _has_capacity(self, e: Node, rank: int) -> bool:
         """One bound on our threads for all classes, under pressure only; long classes stop earlier."""
         if not self._pressure(e):
             return True
         whole, threads = BOUND * e.cores * self._warmth(e), self.order[rank].threads
         share, part = whole / e.sharers, LONG if rank else 1.0
         if share * part < threads:  # departure: a share below one query is dealt in whole ones
-            return len(e.out) < self._dealt(e, whole * part / threads)
+            return len(e.out) < self._quota_of_queries(e, whole * part / threads)
         return e.threads < share and (not rank or e.long_threads < LONG * share)
 
-    def _brim(self, rank: int) -> bool:
+    def _over_fleet_bound(self, rank: int) -> bool:
         """Departure, where our share is below one query: all engines' shares, and one, bound all of ours."""
         threads, most = self.order[rank].threads, BOUND * self.cores * (LONG if rank else 1.0)
         if most >= threads * len(self.able):
@@ -49,7 +49,7 @@
         most = max(most, threads + self.widest)  # or one long query would bar all short ones
         return self.crowd > PRESSURE and sum(e.threads for e in self.able) + threads / 2 > most
 
-    def _dealt(self, e: Node, whole: float) -> int:
+    def _quota_of_queries(self, e: Node, whole: float) -> int:
         """Our part of so many queries of all gateways at an engine: whole ones, by turns all agree on."""
         turn = e.number + zlib.crc32(e.entry.id.encode())
         return int(whole) // e.sharers + (turn % e.sharers < int(whole) % e.sharers)
@@ -65,12 +65,12 @@
             cost += 4.0 * max(0.0, max(e.reported, granted / e.memory) + job.memory / e.memory - 0.9)
         if self.many:
             # Guards the fleet against an order that all share: popular data sets would jam the same engines.
-            cost += (e.threads / e.cores + 1.0) * slow - self._cold(e)  # a cold one gets what is dealt
+            cost += (e.threads / e.cores + 1.0) * slow - self._warming_up(e)  # a cold one gets what is dealt
             return round(cost + (e.entry.id not in self.near), 1), self.rng.expovariate(1.0 / e.sharers)
         threads = e.threads + (n - 1) * (alike * e.threads + mean * self.threads) + alike * job.cls.threads
         cost += threads / e.cores * slow / self._warmth(e)
         if data_set is not None:
-            cost += COLD_SET * alike * (data_set not in e.warm)
+            cost += UNCACHED_DATA_SET_COST * alike * (data_set not in e.warm)
             homes, places = self._homes(data_set)
             place, unseen = places.get(e.entry.id, len(places)), 1.0 - 1.0 / n
             if job.cls.waits_for_loads:
@@ -78,7 +78,7 @@
                 home = min(1.0, max(0.0, homes - place))
                 cost += BARRED * (1.0 if e.barred(self.now, data_set) else unseen * HOME_FILL * home)
             if job.cls.holds_data_set:  # it would stand still until the other loads end
-                cost += 2.0 * e.loading(data_set) + AWAY * unseen * max(0.0, place + 1.0 - homes)
+                cost += 2.0 * e.loading(data_set) + BEYOND_HOME_COST * unseen * max(0.0, place + 1.0 - homes)
                 if place < homes:  # each gateway begins at another one: there it knows most of what is held
                     cost += OWN * ((place / homes - self.s.index / n) % 1.0)
         return cost, zlib.crc32(f"0/{data_set}/{e.entry.id}".encode())
@@ -100,10 +100,10 @@
         able = self.able = [e for e in self.up if e.ejected_at is None]
         self.homes.clear()
         self.weigh(WARY, PART)
-        cold = [e for e in able if e.number >= 0 and self._cold(e)]
+        cold = [e for e in able if e.number >= 0 and self._warming_up(e)]
         self.cold_able = sum(e.cores * self._warmth(e) / e.sharers for e in cold)
         freshly = sum(e.cores * self._warmth(e) for e in cold) / self.paces[1]
-        warm = sum(e.cores for e in able if e.number >= 0 and not self._cold(e)) / self.paces[0]
+        warm = sum(e.cores for e in able if e.number >= 0 and not self._warming_up(e)) / self.paces[0]
         self.cold_part = freshly / (freshly + warm or 1.0)
         of_all = len(self.rings[0]) / max(1, len(self.up)) if self.many else 1.0  # engines, over those we see
         self.cores = sum(e.cores * self._warmth(e) for e in able) * self.part / n * of_all or 1.0
@@ -119,7 +119,10 @@
         if not (job.rank and self.s.may_probe and len(able) > 1 and self.alike < 0.5):
             return min(able, key=lambda e: self._cost(job, e))
         if job.asked_at is None or self.now > job.asked_at + 4 * self.pause:
-            job.asked_at, job.asked = self.now, sorted(able, key=lambda e: self._cost(job, e))[:PROBES]
+            job.asked_at, job.asked = (
+                self.now,
+                sorted(able, key=lambda e: self._cost(job, e))[:HEALTH_CHECKS_PER_LONG_QUERY],
+            )
             due = [e for e in self.up if e.ejected_at is not None and self.now >= e.trial_at][:1]
             for e in due:
                 e.trial_at = self.now + e.backoff
--- a/grebeproxy/policy/release.py
+++ b/grebeproxy/policy/release.py
@@ -40,9 +40,9 @@
 
     def _first(self, rank: int) -> tuple[Job, Node] | None:
         """The first held query of a class that may go, and its engine."""
-        if not self.held[rank] or self._brim(rank):
+        if not self.held[rank] or self._over_fleet_bound(rank):
             return None
-        roomy = [e for e in self.up if self._open(e, rank) and self._room(e, rank)]
+        roomy = [e for e in self.up if self._open(e, rank) and self._has_capacity(e, rank)]
         for job in self.held[rank][:SCAN] if roomy else ():
             # Departure: past our share of an engine's memory it waits here, not in its line and not paging.
             able = [
@@ -77,6 +77,6 @@
             )
         e.attach(job, self.now, max(2, 2 * len(self.sets) // len(self.nodes)))
         e.trial_at = self.now + e.backoff  # of one that is ejected
-        if self._cold(e):
+        if self._warming_up(e):
             e.cold_sent.add(self.now, self.weights[job.rank])
         self.out.append(Send(job.id, e.entry.id, job.due, self._repeat_end(job)))
--- a/grebeproxy/policy/rules.py
+++ b/grebeproxy/policy/rules.py
@@ -7,7 +7,7 @@
 from grebeproxy.policy.interface import Effect, Scope
 from grebeproxy.policy.records import Job, Node
 
-COLD_MARGIN, PACKED = 0.55, 0.7  # of the budget: slots meet, cores are 0.85 busy; of a slot, whole queries
+WARMING_MARGIN, PACKED = 0.55, 0.7  # of the budget: slots meet, cores are 0.85 busy; of a slot, whole queries
 SLOTS, PART, TURN = 2, 1.25, 0.6180339887  # slots of its window, heavy queries in one, turns between them
 WARY = 3.0  # times its work by the settings: a query of each class beside those that were seen
 
@@ -41,7 +41,7 @@
             return False
         if job.attempts and not self._extra_left():
             return False
-        return not self._cold(e) or self._in_slot(job, e)
+        return not self._warming_up(e) or self._in_slot(job, e)
 
     def _in_slot(self, job: Job, e: Node) -> bool:
         """A cold engine's budget is dealt in slots from its start on, seen alike by all, restarted or not."""
@@ -49,7 +49,7 @@
         start = (e.cold_since or 0.0) + slot * self.slot
         if start <= self.began or e.number < 0:
             return False  # a former self may have had this slot, or others are dealt this engine
-        each = COLD_MARGIN * self.s.rules.overload_factor * self.slot / self.heavy
+        each = WARMING_MARGIN * self.s.rules.overload_factor * self.slot / self.heavy
         if self.many and job.draw * (1.0 - exp(-PACKED * each * self.cold_able)) >= self.cold_part:
             return False
         turn = (zlib.crc32(e.entry.id.encode()) + slot) * TURN
@@ -75,10 +75,14 @@
             return None
         return job.ran_at + (job.cls.repeat_window if job.cls.effect is Effect.KEYED else 0.0)
 
-    def _cold(self, e: Node) -> bool:
+    def _warming_up(self, e: Node) -> bool:
         return e.cold_since is not None and self.now < e.cold_since + self.s.rules.ramp_time
 
     def _warmth(self, e: Node) -> float:
         """Part of its capacity that a starting engine is taken to have, for the choice only."""
         low, age = self.s.rules.cold_fraction, self.now - (e.cold_since or 0.0)
-        return max(0.05, low + (1 - low) * max(0.0, age) / self.s.rules.ramp_time) if self._cold(e) else 1.0
+        return (
+            max(0.05, low + (1 - low) * max(0.0, age) / self.s.rules.ramp_time)
+            if self._warming_up(e)
+            else 1.0
+        )
--- a/grebeproxy/policy/subset.py
+++ b/grebeproxy/policy/subset.py
@@ -28,7 +28,7 @@
 
     def _widen(self) -> None:
         """Take in more while few are reliable, in the agreed order, and let go of them while enough are."""
-        reliable = {e.entry.id for e in self.up if e.ejected_at is None and not self._cold(e)}
+        reliable = {e.entry.id for e in self.up if e.ejected_at is None and not self._warming_up(e)}
         step, left = max(1, self.size // 2), len(self.rings[0]) - self.size
         wanted = self.size + min(0, left)
         if len(reliable) < FEW * wanted and self.widening < min(WIDEST * self.size, left):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -38,7 +38,7 @@
         for index, gateway in enumerate(gateways):
             gateway.now += balancers / 800  # half of what all can do
             for send in sends(gateway.ask(work=0.1, id=f"{index}-{step}")):
-                cold = gateway.choice._cold(gateway.choice.nodes[send.engine])
+                cold = gateway.choice._warming_up(gateway.choice.nodes[send.engine])
                 work[cold] += 0.1
                 gateway.end(send, Outcome.OK, 0.1 / 0.44 if cold else 0.1)
     part = work[True] / (work[True] + work[False])
@@ -131,7 +131,7 @@
     before = cold_part()
     for outcome, latency in [(Outcome.OK, 3.0)] * 30 + [(Outcome.ERROR, 0.001)] * 30:
         for send in sends(gateway.ask("long", wait=20.0, work=3.0)):
-            slow = latency if not choice._cold(choice.nodes[send.engine]) else min(latency, 1.0 / 0.44)
+            slow = latency if not choice._warming_up(choice.nodes[send.engine]) else min(latency, 1.0 / 0.44)
             gateway.end(send, outcome, slow)
     assert cold_part() > 1.5 * before
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -172,8 +172,8 @@
 def test_an_engine_that_restarts_under_its_old_id_is_cold(settings: Settings) -> None:
     gateway = Gateway(settings)
     gateway.tell(Engine("e0", "medium", started=99.5), how=ListKind.CHANGES)
-    assert gateway.choice._cold(gateway.choice.nodes["e0"])
-    assert not gateway.choice._cold(gateway.choice.nodes["e1"])
+    assert gateway.choice._warming_up(gateway.choice.nodes["e0"])
+    assert not gateway.choice._warming_up(gateway.choice.nodes["e1"])
 
 
 def test_an_engine_that_was_unreachable_counts_as_cold_whatever_the_list_says(settings: Settings) -> None:
@@ -182,7 +182,7 @@
     gateway.end(send, Outcome.CONNECT_FAILED)
     [trial] = sends(gateway.sweep(102.0)) or sends(gateway.ask(work=0.1, id="b"))
     gateway.end(trial, Outcome.OK, work=0.1)
-    assert gateway.choice._cold(gateway.choice.nodes["e0"])
+    assert gateway.choice._warming_up(gateway.choice.nodes["e0"])
 
 
 # 5: order
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -35,7 +35,7 @@
     for index in range(balancers):
         choice = Choice(make_settings(balancers=balancers, index=index), 0.0, 1)
         choice.handle(0.0, [EngineList(ListKind.FULL, (Engine(engine, "medium"),))])
-        total += choice._dealt(choice.nodes[engine], whole)
+        total += choice._quota_of_queries(choice.nodes[engine], whole)
     assert total == int(whole)
 
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -247,7 +247,7 @@
     gateway.ask(work=0.1)
     gateway.ask(work=0.1)
     taken_in = [gateway.choice.nodes[name] for name in outside if name in gateway.choice.nodes]
-    assert taken_in and all(gateway.choice._cold(node) for node in taken_in)
+    assert taken_in and all(gateway.choice._warming_up(node) for node in taken_in)
 
 
 def test_few_gateways_work_with_all_engines() -> None:
