--- a/grebeproxy/config.py
+++ b/grebeproxy/config.py
@@ -9,6 +9,7 @@
 
 import orjson
 
+from grebeproxy.errors import GrebeproxyError
 from grebeproxy.net.changelog import host_and_port, known_events
 from grebeproxy.policy.interface import Settings
 from grebeproxy.settings import WireLimits, settings_from, wire_limits_from
@@ -18,7 +19,7 @@
 MAX_DESCRIPTOR = 2**20
 
 
-class ConfigError(Exception):
+class ConfigError(GrebeproxyError):
     """Configuration that cannot be used; the text begins with the faulty key."""
 
 
--- a/grebeproxy/settings.py
+++ b/grebeproxy/settings.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
+from grebeproxy.errors import GrebeproxyError
 from grebeproxy.policy import interface as api
 
 Fields = dict[str, Any]
@@ -35,21 +36,28 @@
 REPORTS_IN_MS = {"svc_ms", "latency_ms"}
 
 
+class SettingsError(GrebeproxyError, ValueError):
+    """A settings field that cannot be used; the text begins with the field's name.
+
+    It is also a ``ValueError``, which is what callers caught before it was a class of its own.
+    """
+
+
 def seconds(milliseconds: float | None) -> float:
     """Milliseconds, as in the settings file, in seconds."""
     return (milliseconds or 0.0) / 1000.0
 
 
 def _above_zero(fields: Fields, name: str, where: str) -> float:
-    """A number that has to be there. Raises KeyError, or ValueError naming the field."""
+    """A number that has to be there. Raises KeyError, or SettingsError naming the field."""
     value = fields[name]
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < float("inf"):
-        raise ValueError(f"{where}{name}: must be a number above 0")
+        raise SettingsError(f"{where}{name}: must be a number above 0")
     return float(value)
 
 
 def settings_from(profile: Fields) -> api.Settings:
-    """The settings of one router. Raises KeyError, or ValueError naming the field."""
+    """The settings of one router. Raises KeyError, or SettingsError naming the field."""
     family, limits = profile.get("familyInfo", {}), profile["limits"]
     rules, prices, stats = profile["obligations"], profile.get("prices", {}), profile.get("stats", {})
     categories = profile["categories"]
@@ -68,12 +76,12 @@
     )
     for field, values, wanted in lists:
         if len(values) != len(wanted):
-            raise ValueError(f"familyInfo.{field}: {len(values)} values for {len(wanted)}")
+            raise SettingsError(f"familyInfo.{field}: {len(values)} values for {len(wanted)}")
     for i, c in enumerate(categories):
         for name in ("aim", "deadline"):
             _above_zero(c, name, f"categories.{i}.")
     if _above_zero(limits, "mostTries", "limits.") != int(limits["mostTries"]):
-        raise ValueError("limits.mostTries: must be a whole number")
+        raise SettingsError("limits.mostTries: must be a whole number")
     classes = tuple(
         api.QueryClass(
             name=c["name"],
