--- a/grebeproxy/simulator_adapter.py
+++ b/grebeproxy/simulator_adapter.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, TextIO
 
+from grebeproxy.errors import GrebeproxyError
 from grebeproxy.policy import Choice
 from grebeproxy.policy import interface as api
 from grebeproxy.settings import Fields, report_from, seconds, settings_from
@@ -36,8 +37,8 @@
 UNITS_PER_MS = 4096
 
 
-class WireError(Exception):
-    """Input that the wire does not allow; the text names the message and the field."""
+class SimulatorWireError(GrebeproxyError):
+    """Input that the simulator's wire does not allow; the text names the message and the field."""
 
 
 def milliseconds(value: float) -> float:
@@ -159,13 +160,13 @@
             try:
                 line = json.loads(text)
             except ValueError as error:
-                raise WireError(f"bad JSON: {error}") from None
+                raise SimulatorWireError(f"bad JSON: {error}") from None
             if not isinstance(line, dict) or "msg" not in line:
-                raise WireError("a line without field msg")
+                raise SimulatorWireError("a line without field msg")
             if line["msg"] == "Mark":
                 now, number, lines = seconds(_need(line, "simTime")), _need(line, "n"), []
             elif number is None:
-                raise WireError(f"{line['msg']}: outside a batch")
+                raise SimulatorWireError(f"{line['msg']}: outside a batch")
             elif line["msg"] == "End":
                 reply = self.batch(now, lines)
                 reply.append({"msg": "Ack", "n": number})
@@ -176,16 +177,16 @@
                 lines.append(line)
 
     def batch(self, now: float, lines: list[Fields]) -> list[Fields]:
-        """The actions that answer one batch. Raises ``WireError`` naming the message and the field."""
+        """The actions that answer one batch. Raises ``SimulatorWireError`` naming the message and field."""
         pending: dict[str, list[api.Event]] = {}
         for line in lines:
             message = line["msg"]
             try:
                 self._read(now, line, pending)
             except KeyError as error:
-                raise WireError(f"{message}: field missing or not known: {error.args[0]}") from None
+                raise SimulatorWireError(f"{message}: field missing or not known: {error.args[0]}") from None
             except (TypeError, ValueError, AttributeError) as error:
-                raise WireError(f"{message}: {error}") from None
+                raise SimulatorWireError(f"{message}: {error}") from None
         reply: list[Fields] = []
         for instance, events in pending.items():
             reply += self._decide(now, instance, events)
@@ -206,7 +207,7 @@
             self._instances[instance] = self._factory(settings, now, line["salt"])
             pending[instance] = []
         elif instance not in self._instances:
-            raise WireError(f"{message}: who: {instance} was never started")
+            raise SimulatorWireError(f"{message}: who: {instance} was never started")
         elif message == "Fleet":
             pending.setdefault(instance, []).append(self._engine_list(line))
         elif message in EVENTS:
@@ -214,7 +215,7 @@
             if event is not None:
                 pending.setdefault(instance, []).append(event)
         else:
-            raise WireError(f"{message}: unknown message")
+            raise SimulatorWireError(f"{message}: unknown message")
 
     def _engine_list(self, line: Fields) -> api.EngineList:
         how = LIST_KINDS[line["mode"]]
@@ -233,7 +234,7 @@
 
 def _need(line: Fields, field: str) -> Any:
     if field not in line:
-        raise WireError(f"{line['msg']}: field missing or not known: {field}")
+        raise SimulatorWireError(f"{line['msg']}: field missing or not known: {field}")
     return line[field]
 
 
@@ -241,7 +242,7 @@
     """Serve the wire on standard input and output."""
     try:
         SimulatorAdapter().run(sys.stdin, sys.stdout)
-    except WireError as error:
+    except SimulatorWireError as error:
         print(f"simulator_adapter: {error}", file=sys.stderr)
         return 2
     return 0
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -11,7 +11,7 @@
 import pytest
 
 from grebeproxy import Choice, Settings
-from grebeproxy.simulator_adapter import SimulatorAdapter, WireError
+from grebeproxy.simulator_adapter import SimulatorAdapter, SimulatorWireError
 from grebeproxy.policy import interface as api
 from grebeproxy.settings import settings_from
 
@@ -323,7 +323,7 @@
     ],
 )
 def test_malformed_lines_are_named(line: str, words: str) -> None:
-    with pytest.raises(WireError, match=words.replace("[", r"\[")):
+    with pytest.raises(SimulatorWireError, match=words.replace("[", r"\[")):
         SimulatorAdapter().run([line], io.StringIO())
 
 
@@ -337,7 +337,7 @@
     ],
 )
 def test_malformed_messages_are_named(message: dict[str, Any], words: str) -> None:
-    with pytest.raises(WireError, match=words):
+    with pytest.raises(SimulatorWireError, match=words):
         play([HELLO, message])
 
 
