--- a/grebeproxy/net/admission.py
+++ b/grebeproxy/net/admission.py
@@ -60,7 +60,7 @@
 
     conn: int
     idle_since: float  # since when it has neither asked nor been answered
-    has_asked: bool = False
+    has_requested: bool = False
     message_started_at: float | None = None  # since when a message has begun and is not whole
     faults: int = 0
     half_closed_at: float | None = None  # when the router ended its side; what comes since is not read
@@ -79,7 +79,7 @@
         free,
         key=lambda client: (
             client.half_closed_at is None,
-            client.has_asked and client.message_started_at is None,
+            client.has_requested and client.message_started_at is None,
             client.idle_since,
         ),
     ).conn
@@ -96,7 +96,7 @@
         or (client.half_closed_at is not None and now - client.half_closed_at >= HALF_CLOSE_TIMEOUT)
         or (
             not client.requests
-            and now - client.idle_since >= (IDLE_TIMEOUT if client.has_asked else FIRST_REQUEST_TIMEOUT)
+            and now - client.idle_since >= (IDLE_TIMEOUT if client.has_requested else FIRST_REQUEST_TIMEOUT)
         )
     ]
 
@@ -109,7 +109,7 @@
     return [
         client
         for client in clients.values()
-        if client.has_asked
+        if client.has_requested
         and not client.requests
         and client.message_started_at is None
         and client.half_closed_at is None
--- a/grebeproxy/net/follower.py
+++ b/grebeproxy/net/follower.py
@@ -75,7 +75,7 @@
         log.connect_timeout = min(FRAMES + MAX_LATENESS, 2 * log.connect_timeout)
 
 
-def move(log: Follower, address: Address) -> bool:
+def migrate(log: Follower, address: Address) -> bool:
     """The log is elsewhere from now on; returns whether it is to be dialled at once, from the last event."""
     if address == log.address:
         return False
--- a/grebeproxy/net/router/attempts.py
+++ b/grebeproxy/net/router/attempts.py
@@ -72,11 +72,11 @@
         txn = request.call.txn
         self._command(link, Stop(txn) if attempt.pages is None else End(txn))
         if link.last_heard <= attempt.sent < self.now - self.limits.connect_timeout:
-            self._probe_link(link)
+            self._health_check_link(link)
         self._detach(attempt)
         self._at(self.now + SETTLE, self._end, attempt, outcome)
 
-    def _probe_link(self, link: Link) -> None:
+    def _health_check_link(self, link: Link) -> None:
         """Nothing was heard since an attempt went out that was given up: the machine behind may be gone.
 
         The connection is asked. Ending it unasked cost a handshake for most queries that stood still: over
@@ -85,9 +85,9 @@
         if link.probed_at is None and not link.retired:
             link.probed_at = self.now
             self._command(link, Hello(str(link.id)))
-            self._at(self.now + self.limits.connect_timeout, self._check_probe, link)
+            self._at(self.now + self.limits.connect_timeout, self._check_health_check, link)
 
-    def _check_probe(self, link: Link) -> None:
+    def _check_health_check(self, link: Link) -> None:
         if link.id in self._links and link.probed_at is not None and link.last_heard <= link.probed_at:
             link.retired = True  # what is still out there may be answered all the same
             if not link.attempts:
--- a/grebeproxy/net/router/base.py
+++ b/grebeproxy/net/router/base.py
@@ -73,7 +73,7 @@
     def _at(self, at: float, call: Callable[..., None], *args: Any) -> None:
         heappush(self._timers, (at, next(self._numbers), call, args))
 
-    def _ask_to_wake(self) -> None:
+    def _request_wake(self) -> None:
         at = self._timers[0][0] if self._timers else None
         if self._idle_clients or (self._exit_when_answered and not self._done and self._all_answered()):
             at = self.now  # they end behind one more look at the sockets
--- a/grebeproxy/net/router/clients.py
+++ b/grebeproxy/net/router/clients.py
@@ -47,7 +47,7 @@
             self._hang_up(client.conn)
 
     def _accept_request(self, client: admission.Client[Request], call: Call) -> None:
-        turned_away = Refused(call.msg, self.settings.max_retry_after)
+        rejected = Refused(call.msg, self.settings.max_retry_after)
         if call.msg in client.requests:
             # Two answers under one id could not be told apart: nothing on this connection can be trusted.
             self._hang_up(client.conn)
@@ -55,15 +55,15 @@
             # Guards against a second request under an id that an engine still has: their answers would mix.
             self._fault(client, Failed(call.msg, "txn"))
         elif call.cls not in self._deadlines:  # a class that has gone: its clients may not know yet
-            self._effects.append(Answer(client.conn, turned_away))
+            self._effects.append(Answer(client.conn, rejected))
         elif len(client.requests) >= admission.MAX_OPEN_REQUESTS:
-            self._fault(client, turned_away)
+            self._fault(client, rejected)
         elif (
             self.now >= self._accept_until
             or len(self._requests) >= self.limits.max_open
             or self._bodies + len(call.body) > self._bounds.bodies
         ):
-            self._effects.append(Answer(client.conn, turned_away))
+            self._effects.append(Answer(client.conn, rejected))
         else:
             # No longer than the class's own deadline. Guards against limits of hours: what is kept for a
             # request until then would pile up.
@@ -109,7 +109,7 @@
             self._abandon(request)
 
     def _on_client(self, client: admission.Client[Request], message: FromClient) -> None:
-        client.has_asked, client.message_started_at, client.idle_since = True, None, self.now
+        client.has_requested, client.message_started_at, client.idle_since = True, None, self.now
         match message:
             case Call():
                 self._accept_request(client, message)
--- a/grebeproxy/net/router/discovery.py
+++ b/grebeproxy/net/router/discovery.py
@@ -49,8 +49,8 @@
         except ValueError as error:
             self._lose_log(str(error))
 
-    def _move_log(self, address: Address) -> None:
-        if follower.move(self._log, address):
+    def _migrate_change_log(self, address: Address) -> None:
+        if follower.migrate(self._log, address):
             host, port = address
             self._effects.append(LogLine(f"change log: at {host}:{port} after event {self._log.seq}"))
             self._dial_log(self._log.dials)
@@ -79,8 +79,8 @@
                 self._retire(entry.id)
                 self._clear(entry.id)
             elif old is not None and (old.address != address or old.started != entry.started):
-                moved = old.address != address
+                migrated = old.address != address
                 for link in list(self._engine_links.get(entry.id, ())):
-                    if moved or link.opened < (entry.started or 0.0):  # its process has ended since
+                    if migrated or link.opened < (entry.started or 0.0):  # its process has ended since
                         self._drop(link)
         self._pending.append(change)
--- a/grebeproxy/net/router/links.py
+++ b/grebeproxy/net/router/links.py
@@ -9,7 +9,8 @@
 from grebeproxy.policy import interface as api
 
 SETTLE = 0.020  # a stop is on its way so long before its attempt counts as ended
-IDLE_SHARE = 0.8  # of the engines' idle time-out: closing first keeps requests from crossing their close
+# Of the engines' idle time-out: closing first keeps requests from crossing their close.
+IDLE_TIMEOUT_FRACTION = 0.8
 
 
 class Links(Answers):
@@ -60,10 +61,10 @@
         self._engine_links.setdefault(attempt.engine, []).append(link)
         self._effects.append(OpenLink(link.id, self._places[attempt.engine].address))
         self._at(self.now + self.limits.connect_timeout, self._check_open, link)
-        self._at(self.now + IDLE_SHARE * self.limits.idle_timeout, self._check_idle, link)
+        self._at(self.now + IDLE_TIMEOUT_FRACTION * self.limits.idle_timeout, self._check_idle, link)
         return link
 
-    def _check_answer_whole(self, link: Link, since: float) -> None:
+    def _check_answer_complete(self, link: Link, since: float) -> None:
         """Guards against answers that stop short or do not end: nothing that is behind them can come."""
         if link.answer_started_at == since and link.id in self._links:
             self._effects.append(LogLine(f"engine {link.engine}: an answer that stopped short"))
@@ -123,10 +124,10 @@
         if link.id not in self._links:
             return
         since = self.now if link.attempts else link.idle_since
-        if self.now - since >= IDLE_SHARE * self.limits.idle_timeout - 1e-6:
+        if self.now - since >= IDLE_TIMEOUT_FRACTION * self.limits.idle_timeout - 1e-6:
             self._drop(link)
         else:
-            self._at(since + IDLE_SHARE * self.limits.idle_timeout, self._check_idle, link)
+            self._at(since + IDLE_TIMEOUT_FRACTION * self.limits.idle_timeout, self._check_idle, link)
 
     def _drop(self, link: Link, close: bool = True, local_shortage: bool = False) -> None:
         """End a connection. What was written to it may have run; what was not never did.
--- a/grebeproxy/net/router/reducer.py
+++ b/grebeproxy/net/router/reducer.py
@@ -118,7 +118,7 @@
         for link, commands in self._commands.items():
             self._effects.append(Write(link, tuple(commands)))
         self._commands.clear()
-        self._ask_to_wake()
+        self._request_wake()
         return self._effects
 
     def _half_close_idle_clients(self) -> None:
@@ -160,7 +160,7 @@
                 self._merge_overrides(calls)
             case Reloaded(address, settings, limits):
                 self._retune(on_sockets(settings), limits)
-                self._move_log(address)
+                self._migrate_change_log(address)
             case StopRequested():
                 if not self._stopping:
                     self._stop()
@@ -216,7 +216,7 @@
             case LinkAnswerStarted():
                 if link.answer_started_at is None:
                     link.answer_started_at = self.now
-                    self._at(self.now + PARTIAL_ANSWER_TIMEOUT, self._check_answer_whole, link, self.now)
+                    self._at(self.now + PARTIAL_ANSWER_TIMEOUT, self._check_answer_complete, link, self.now)
             case LinkOpened():
                 link.up = True
                 self._to_flush[link.id] = link
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -374,7 +374,7 @@
         stage.run(0.45)
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    taken = [client for client in stage.runtime._router._clients.values() if client.has_asked]
+    taken = [client for client in stage.runtime._router._clients.values() if client.has_requested]
     assert len(taken) == 40 and sum(map(ended, crowd)) >= 40
     with pytest.raises(ConnectionRefusedError):
         stage.client()
