--- a/grebeproxy/net/follower.py
+++ b/grebeproxy/net/follower.py
@@ -7,6 +7,7 @@
 
 from dataclasses import dataclass
 
+from grebeproxy.errors import GrebeproxyError
 from grebeproxy.net.events import Address, OpenChangeLog
 from grebeproxy.net.messages import ChangeLogUpdate
 from grebeproxy.policy.interface import ListKind
@@ -20,6 +21,13 @@
 FIRST_EVENT_TIMEOUT = 0.25
 
 
+class ChangeLogGapError(GrebeproxyError, ValueError):
+    """An event of the change log came whose predecessors were never received.
+
+    Derives from ``ValueError`` as well, so that callers that caught that before catch it still.
+    """
+
+
 @dataclass(slots=True)
 class Follower:
     """The connection to the change log and the last event that was applied."""
@@ -84,11 +92,14 @@
 
 
 def read(log: Follower, update: ChangeLogUpdate, now: float) -> bool:
-    """Returns whether an event is to be applied. Raises ``ValueError`` when events before it are missing."""
+    """Return whether an event is to be applied.
+
+    Raises ``ChangeLogGapError`` when events before it are missing.
+    """
     log.last_heard, log.backoff, log.connect_timeout = now, BACKOFF, CONNECT_TIMEOUT
     if update.change is None or update.seq <= log.seq:  # a sign of life, or an event that comes twice
         return False
     if update.change.how is not ListKind.FULL and update.seq != log.seq + 1:
-        raise ValueError(f"event {update.seq} came after {log.seq}")
+        raise ChangeLogGapError(f"event {update.seq} came after {log.seq}")
     log.seq = update.seq
     return True
--- a/grebeproxy/net/router/discovery.py
+++ b/grebeproxy/net/router/discovery.py
@@ -46,7 +46,7 @@
         try:
             if follower.read(self._log, update, self.now):
                 self._apply(update)
-        except ValueError as error:
+        except follower.ChangeLogGapError as error:
             self._lose_log(str(error))
 
     def _migrate_change_log(self, address: Address) -> None:
--- a/grebeproxy/net/router/operating.py
+++ b/grebeproxy/net/router/operating.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from grebeproxy.net import admission
 from grebeproxy.net.events import CloseAdmin, LogLine, SaveOverrides
 from grebeproxy.net.manual_overrides import Calls
@@ -28,6 +30,13 @@
 KILL_ALONE, KILL_SHARED, KILL_AFTER = 3.0, 5.0, 0.6
 
 
+class AdminReply(NamedTuple):
+    """The answer to an operator's call: whether it was carried out, and the text sent back."""
+
+    done: bool
+    text: str
+
+
 class Operating(Discovery):
     """What operators ask for: manual overrides, drains, other settings, the end."""
 
@@ -49,29 +58,29 @@
         if self._admins.pop(conn, None) is not None:
             self._effects.append(CloseAdmin(conn))
 
-    def _on_admin_call(self, call: AdminCall) -> tuple[bool, str]:
-        """Whether a call was carried out, and the text of its answer."""
+    def _on_admin_call(self, call: AdminCall) -> AdminReply:
+        """Carry out an operator's call; says whether it was done, and the text of its answer."""
         match call:
             case Status():
                 taking = self._listening and not self._stopping
-                return taking, "serving" if taking and not self._draining() else "not serving"
+                return AdminReply(taking, "serving" if taking and not self._draining() else "not serving")
             case MaintenanceOn(engine) | MaintenanceOff(engine):
                 place = self._places.get(engine)
                 if engine not in self._overrides.disabled() and (place is None or place.gone):
-                    return False, "no such engine"
+                    return AdminReply(False, "no such engine")
                 done = self._overrides.set(engine, isinstance(call, MaintenanceOn))
                 self._effects.append(SaveOverrides(dict(self._overrides.calls)))
                 self._apply_overrides()
-                return done, "done" if done else "too many engines are out"
+                return AdminReply(done, "done" if done else "too many engines are out")
             case Standby():
                 if self._standby_since is None:
                     self._standby_since = self.now
                     self._accept_until = min(self._accept_until, self.now + admission.DRAIN_ACCEPT_PERIOD)
-                return True, "clients are sent away"
+                return AdminReply(True, "clients are sent away")
             case Active() if not self._stopping:
                 self._standby_since, self._accept_until = None, float("inf")
-                return True, "clients may come"
-        return False, "stopping" if isinstance(call, Active) else "not a call"
+                return AdminReply(True, "clients may come")
+        return AdminReply(False, "stopping" if isinstance(call, Active) else "not a call")
 
     def _merge_overrides(self, calls: Calls) -> None:
         self._overrides.merge(calls)
--- a/grebeproxy/net/router/reducer.py
+++ b/grebeproxy/net/router/reducer.py
@@ -198,8 +198,8 @@
                 self._on_admin_opened(conn)
             case AdminCallReceived(conn, call):
                 if self._admins.pop(conn, None) is not None:
-                    done, text = self._on_admin_call(call)
-                    self._effects.append(AnswerAdmin(conn, done, text))
+                    reply = self._on_admin_call(call)
+                    self._effects.append(AnswerAdmin(conn, reply.done, reply.text))
             case AdminClosed(conn):
                 self._admins.pop(conn, None)
 
