--- a/grebeproxy/net/router/discovery.py
+++ b/grebeproxy/net/router/discovery.py
@@ -65,22 +65,25 @@
                 self._places[engine].gone = True
                 self._clear(engine)
         for entry in change.engines:
-            address = addresses[entry.id]
-            if entry.state is not api.EngineState.GONE:
-                # Guards against an engine that gets the address of one that has gone: a connection made for
-                # the old one must not carry anything for it.
-                other = self._engine_at.get(address, entry.id)
-                if other != entry.id:
-                    self._retire(other, drop=True)
-                    self._forget_place(other)
-            old = self._places.get(entry.id)
-            self._set_place(entry.id, Place(address, entry.started, entry.state is api.EngineState.GONE))
-            if entry.state is not api.EngineState.UP:
-                self._retire(entry.id)
-                self._clear(entry.id)
-            elif old is not None and (old.address != address or old.started != entry.started):
-                migrated = old.address != address
-                for link in list(self._engine_links.get(entry.id, ())):
-                    if migrated or link.opened < (entry.started or 0.0):  # its process has ended since
-                        self._drop(link)
+            self._apply_engine(entry, addresses[entry.id])
         self._pending.append(change)
+
+    def _apply_engine(self, entry: api.Engine, address: Address) -> None:
+        """Take one engine of an event of the change log: where it is, whether it is up, since when."""
+        if entry.state is not api.EngineState.GONE:
+            # Guards against an engine that gets the address of one that has gone: a connection made for
+            # the old one must not carry anything for it.
+            other = self._engine_at.get(address, entry.id)
+            if other != entry.id:
+                self._retire(other, drop=True)
+                self._forget_place(other)
+        old = self._places.get(entry.id)
+        self._set_place(entry.id, Place(address, entry.started, entry.state is api.EngineState.GONE))
+        if entry.state is not api.EngineState.UP:
+            self._retire(entry.id)
+            self._clear(entry.id)
+        elif old is not None and (old.address != address or old.started != entry.started):
+            migrated = old.address != address
+            for link in list(self._engine_links.get(entry.id, ())):
+                if migrated or link.opened < (entry.started or 0.0):  # its process has ended since
+                    self._drop(link)
--- a/grebeproxy/net/router/reducer.py
+++ b/grebeproxy/net/router/reducer.py
@@ -156,6 +156,12 @@
                 self._on_change_log_event(event)
             case AdminOpened() | AdminCallReceived() | AdminClosed():
                 self._on_admin_event(event)
+            case _:
+                self._on_process_event(event)
+
+    def _on_process_event(self, event: Event) -> None:
+        """Events of the process itself: overrides read, settings reloaded, a stop asked for, a wake-up."""
+        match event:
             case OverridesRead(calls):
                 self._merge_overrides(calls)
             case Reloaded(address, settings, limits):
@@ -232,6 +238,16 @@
         match action:
             case api.Send():
                 self._send(action)
+            case api.SetTimer():
+                self._at(self.now + action.delay, self._fire, action.name)
+            case api.Log():
+                self._effects.append(LogLine(action.text))
+            case _:
+                self._on_request_action(action)
+
+    def _on_request_action(self, action: api.Action) -> None:
+        """Carry out what the module decided of one open request: its terms, its answer, its cancellation."""
+        match action:
             case api.SetTerms():
                 if action.id in self._requests:
                     self._requests[action.id].memory_mb = action.memory_mb
@@ -245,10 +261,6 @@
                 request = self._requests.get(action.id)
                 if request and request.in_flight and request.in_flight.number == action.attempt:
                     self._give_up(request.in_flight, api.Outcome.CANCELLED)
-            case api.SetTimer():
-                self._at(self.now + action.delay, self._fire, action.name)
-            case api.Log():
-                self._effects.append(LogLine(action.text))
 
     def _fire(self, name: str) -> None:
         self._pending.append(api.TimerFired(name))
