--- a/grebeproxy/net/messages.py
+++ b/grebeproxy/net/messages.py
@@ -71,8 +71,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
-    """Not served, and trying again is harmless, best after ``later`` seconds."""
+class Rejected:
+    """Not served; a retry is harmless, best after ``later`` seconds (the Retry-After), if given."""
 
     msg: int
     later: float | None = None
@@ -94,7 +94,7 @@
     serves: bool
 
 
-ToClient = Union[Served, Refused, Failed, Pong]
+ToClient = Union[Served, Rejected, Failed, Pong]
 
 
 # --- to engines
--- a/grebeproxy/net/msgpack_rpc.py
+++ b/grebeproxy/net/msgpack_rpc.py
@@ -18,7 +18,7 @@
     Invalid,
     Ping,
     Pong,
-    Refused,
+    Rejected,
     Served,
     ToClient,
 )
@@ -236,7 +236,7 @@
             result = [b"".join(answer.parts), {}]
         case Pong():
             result = [answer.serves, {}]
-        case Refused():
+        case Rejected():
             later = {} if answer.later is None else {"later": str(math.ceil(answer.later * 1000))}
             error = ["TryLater", later]
         case Failed():
--- a/grebeproxy/net/router/clients.py
+++ b/grebeproxy/net/router/clients.py
@@ -4,7 +4,7 @@
 
 from grebeproxy.net import admission
 from grebeproxy.net.events import Answer, CloseClient, LogLine
-from grebeproxy.net.messages import Call, Failed, FromClient, GiveUp, Invalid, Ping, Pong, Refused, ToClient
+from grebeproxy.net.messages import Call, Failed, FromClient, GiveUp, Invalid, Ping, Pong, Rejected, ToClient
 from grebeproxy.net.router.attempts import Attempts
 from grebeproxy.net.router.records import Request
 from grebeproxy.policy import interface as api
@@ -47,7 +47,7 @@
             self._hang_up(client.conn)
 
     def _accept_request(self, client: admission.Client[Request], call: Call) -> None:
-        rejected = Refused(call.msg, self.settings.max_retry_after)
+        rejected = Rejected(call.msg, self.settings.max_retry_after)
         if call.msg in client.requests:
             # Two answers under one id could not be told apart: nothing on this connection can be trusted.
             self._hang_up(client.conn)
--- a/grebeproxy/net/router/operating.py
+++ b/grebeproxy/net/router/operating.py
@@ -11,7 +11,7 @@
     Active,
     AdminCall,
     Failed,
-    Refused,
+    Rejected,
     Standby,
     Status,
     MaintenanceOff,
@@ -118,7 +118,7 @@
         safe = {cls.name for cls in self.settings.classes if cls.effect is api.Effect.SAFE}
         for request in [request for request in self._requests.values() if request.owed]:
             msg, later = request.call.msg, self.settings.max_retry_after
-            self._answer(request, Refused(msg, later) if request.call.cls in safe else Failed(msg))
+            self._answer(request, Rejected(msg, later) if request.call.cls in safe else Failed(msg))
             self._abandon(request)
 
     def _end_when_answered(self) -> None:
--- a/grebeproxy/net/router/reducer.py
+++ b/grebeproxy/net/router/reducer.py
@@ -42,7 +42,7 @@
     Woken,
     Write,
 )
-from grebeproxy.net.messages import Failed, ChangeLogUpdate, Refused
+from grebeproxy.net.messages import Failed, ChangeLogUpdate, Rejected
 from grebeproxy.net.router.base import on_sockets
 from grebeproxy.net.router.operating import Operating
 from grebeproxy.net.router.records import Link
@@ -253,7 +253,7 @@
                     self._requests[action.id].memory_mb = action.memory_mb
             case api.Refuse():
                 if (request := self._requests.get(action.id)) is not None:
-                    self._answer(request, Refused(request.call.msg, action.come_back))
+                    self._answer(request, Rejected(request.call.msg, action.come_back))
             case api.Fail():
                 if (request := self._requests.get(action.id)) is not None:
                     self._answer(request, Failed(request.call.msg))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -377,11 +377,11 @@
     late = router.step(
         0.4 + forced - 0.3, [events.ClientMessageReceived(1, replace(asked, msg=3, txn="b" * 16))]
     )
-    assert events.Answer(1, messages.Refused(3, 1.0)) in late
+    assert events.Answer(1, messages.Rejected(3, 1.0)) in late
     assert events.Answer(1, messages.Failed(1)) not in late
     ended = router.step(0.4 + forced - 0.1, [events.Woken()])
     answers = [effect for effect in ended if isinstance(effect, events.Answer)]
     # What may be repeated is refused, so that its client may ask elsewhere.
-    assert answers == [events.Answer(1, messages.Failed(1)), events.Answer(1, messages.Refused(2, 1.0))]
+    assert answers == [events.Answer(1, messages.Failed(1)), events.Answer(1, messages.Rejected(2, 1.0))]
     looked = router.step(0.4 + forced - 0.1, [events.Woken()])  # at what has come meanwhile, in the same turn
     assert events.HalfCloseClient(1) in looked and (ended + looked).count(events.Exit()) == 1
