--- a/grebeproxy/net/router/reducer.py
+++ b/grebeproxy/net/router/reducer.py
@@ -42,7 +42,7 @@
     Woken,
     Write,
 )
-from grebeproxy.net.messages import Failed, ChangeLogUpdate, Refused
+from grebeproxy.net.messages import Failed, ChangeLogUpdate, Rejected
 from grebeproxy.net.router.base import on_sockets
 from grebeproxy.net.router.operating import Operating
 from grebeproxy.net.router.records import Link
@@ -118,7 +118,7 @@
         for link, commands in self._commands.items():
             self._effects.append(Write(link, tuple(commands)))
         self._commands.clear()
-        self._ask_to_wake()
+        self._request_wake()
         return self._effects
 
     def _half_close_idle_clients(self) -> None:
@@ -156,11 +156,17 @@
                 self._on_change_log_event(event)
             case AdminOpened() | AdminCallReceived() | AdminClosed():
                 self._on_admin_event(event)
+            case _:
+                self._on_process_event(event)
+
+    def _on_process_event(self, event: Event) -> None:
+        """Events of the process itself: overrides read, settings reloaded, a stop asked for, a wake-up."""
+        match event:
             case OverridesRead(calls):
                 self._merge_overrides(calls)
             case Reloaded(address, settings, limits):
                 self._retune(on_sockets(settings), limits)
-                self._move_log(address)
+                self._migrate_change_log(address)
             case StopRequested():
                 if not self._stopping:
                     self._stop()
@@ -198,8 +204,8 @@
                 self._on_admin_opened(conn)
             case AdminCallReceived(conn, call):
                 if self._admins.pop(conn, None) is not None:
-                    done, text = self._on_admin_call(call)
-                    self._effects.append(AnswerAdmin(conn, done, text))
+                    reply = self._on_admin_call(call)
+                    self._effects.append(AnswerAdmin(conn, reply.done, reply.text))
             case AdminClosed(conn):
                 self._admins.pop(conn, None)
 
@@ -216,7 +222,7 @@
             case LinkAnswerStarted():
                 if link.answer_started_at is None:
                     link.answer_started_at = self.now
-                    self._at(self.now + PARTIAL_ANSWER_TIMEOUT, self._check_answer_whole, link, self.now)
+                    self._at(self.now + PARTIAL_ANSWER_TIMEOUT, self._check_answer_complete, link, self.now)
             case LinkOpened():
                 link.up = True
                 self._to_flush[link.id] = link
@@ -232,12 +238,22 @@
         match action:
             case api.Send():
                 self._send(action)
+            case api.SetTimer():
+                self._at(self.now + action.delay, self._fire, action.name)
+            case api.Log():
+                self._effects.append(LogLine(action.text))
+            case _:
+                self._on_request_action(action)
+
+    def _on_request_action(self, action: api.Action) -> None:
+        """Carry out what the module decided of one open request: its terms, its answer, its cancellation."""
+        match action:
             case api.SetTerms():
                 if action.id in self._requests:
                     self._requests[action.id].memory_mb = action.memory_mb
             case api.Refuse():
                 if (request := self._requests.get(action.id)) is not None:
-                    self._answer(request, Refused(request.call.msg, action.come_back))
+                    self._answer(request, Rejected(request.call.msg, action.come_back))
             case api.Fail():
                 if (request := self._requests.get(action.id)) is not None:
                     self._answer(request, Failed(request.call.msg))
@@ -245,10 +261,6 @@
                 request = self._requests.get(action.id)
                 if request and request.in_flight and request.in_flight.number == action.attempt:
                     self._give_up(request.in_flight, api.Outcome.CANCELLED)
-            case api.SetTimer():
-                self._at(self.now + action.delay, self._fire, action.name)
-            case api.Log():
-                self._effects.append(LogLine(action.text))
 
     def _fire(self, name: str) -> None:
         self._pending.append(api.TimerFired(name))
