--- a/grebeproxy/membership/lease.py
+++ b/grebeproxy/membership/lease.py
@@ -19,7 +19,7 @@
 from random import Random
 from typing import Union
 
-from grebeproxy.membership.model import Condition, View, Wake
+from grebeproxy.membership.model import MAX_SECONDS, Condition, InvalidSettingError, View, Wake
 
 DRIFT = 0.02  # part by which two clocks may run apart
 RENEW = 0.3  # part of the length after which the votes are asked for anew
@@ -149,8 +149,8 @@
     """One router's part, as a voter and as one that asks. ``length`` is in seconds, alike for all."""
 
     def __init__(self, name: str, instance: int, fleet: int, length: float, rng: Random, now: float) -> None:
-        if not 0.0 < length < 3600.0:
-            raise ValueError("length: must be above 0 and below 3600")
+        if not 0.0 < length < MAX_SECONDS:
+            raise InvalidSettingError(f"length: must be above 0 and below {MAX_SECONDS:.0f}")
         self.name, self.instance, self.fleet, self.length, self.rng = name, instance, fleet, length, rng
         self.now = now
         # An earlier process of this name may have promised something just before it ended.
--- a/grebeproxy/membership/model.py
+++ b/grebeproxy/membership/model.py
@@ -6,8 +6,25 @@
 from enum import Enum, IntEnum
 from typing import Union
 
+from grebeproxy.errors import GrebeproxyError
+
 Address = tuple[str, int]
 
+MAX_NAME_BYTES = 32  # longest name, encoded, that the codec carries
+MAX_SECONDS = 3600.0  # every configured time lies below this
+MAX_HELPERS = 16  # members asked at most to ping a target on one's behalf
+
+
+class MembershipError(GrebeproxyError):
+    """Base class of the errors that the membership package raises on purpose."""
+
+
+class InvalidSettingError(MembershipError, ValueError):
+    """A setting of membership or leases that cannot be meant; the text names the field and its bounds.
+
+    It is a ``ValueError`` too, so callers that catch that go on catching it.
+    """
+
 
 class State(IntEnum):
     """What is held of a member. The higher one counts where all else is equal."""
@@ -153,7 +170,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """How one router takes part. Times in seconds; wrong values raise ``ValueError`` naming the field."""
+    """How one router takes part. Times in seconds.
+
+    Raises ``InvalidSettingError`` (a ``ValueError``) naming the field where a value cannot be meant.
+    """
 
     name: str
     address: Address  # where the others reach it
@@ -166,14 +186,14 @@
 
     def __post_init__(self) -> None:
         """Refuse what cannot be meant."""
-        if not 1 <= len(self.name.encode()) <= 32:
-            raise ValueError("name: must have 1 to 32 bytes")
+        if not 1 <= len(self.name.encode()) <= MAX_NAME_BYTES:
+            raise InvalidSettingError(f"name: must have 1 to {MAX_NAME_BYTES} bytes")
         if self.fleet < 1:
-            raise ValueError("fleet: must be 1 or more")
+            raise InvalidSettingError("fleet: must be 1 or more")
         for field in ("period", "timeout", "settle"):
-            if not 0.0 < getattr(self, field) < 3600.0:
-                raise ValueError(f"{field}: must be above 0 and below 3600")
+            if not 0.0 < getattr(self, field) < MAX_SECONDS:
+                raise InvalidSettingError(f"{field}: must be above 0 and below {MAX_SECONDS:.0f}")
         if self.timeout >= self.period:
-            raise ValueError("timeout: must be below period")
-        if not 0 <= self.helpers <= 16:
-            raise ValueError("helpers: must be 0 to 16")
+            raise InvalidSettingError("timeout: must be below period")
+        if not 0 <= self.helpers <= MAX_HELPERS:
+            raise InvalidSettingError(f"helpers: must be 0 to {MAX_HELPERS}")
--- a/grebeproxy/membership/wire.py
+++ b/grebeproxy/membership/wire.py
@@ -16,7 +16,7 @@
 
 import msgpack
 
-from grebeproxy.membership.model import Fact, Kind, Message, State
+from grebeproxy.membership.model import Fact, Kind, MembershipError, Message, State
 
 VERSION, OLDEST = 2, 1
 MAX_BYTES = 1200  # of a packet, so that it crosses any network whole
@@ -27,7 +27,7 @@
 MAX_SENDERS = 4096  # processes whose packets are counted; the latest heard stay
 
 
-class WireError(Exception):
+class WireError(MembershipError):
     """A packet that is not taken; the text gives the reason."""
 
 
