--- a/grebeproxy/membership/swim.py
+++ b/grebeproxy/membership/swim.py
@@ -41,8 +41,8 @@
 
 FACTS_PER_MESSAGE = 8  # in one message, so that it fits a packet
 GOSSIP_TO = 3  # others that get gossip between probes, while there is some
-JOIN_EVERY = 2.0  # periods between tries of the seeds while nobody is known
-SYNC_EVERY, HEAL_EVERY = 20.0, 8.0  # periods between full exchanges, and tries of those that are lost
+JOIN_EVERY = 2.0  # periods between attempts to reach the seeds while nobody is known
+SYNC_EVERY, HEAL_EVERY = 20.0, 8.0  # periods between full exchanges, and between attempts on the lost
 # Periods for which a failed member is remembered: older facts may still be on their way.
 REMEMBER_FAILED = 120.0
 MAX_MEMBERS_FACTOR = 4  # times the configured fleet that are known at most
@@ -57,7 +57,7 @@
 
     number: int
     target: str
-    asked: int = 0  # others that were asked to ping it
+    ping_reqs_sent: int = 0  # others that were asked to ping the target
     nacks: int = 0  # of these, that have neither got through nor said that they did not
     answered: bool = False
 
@@ -157,11 +157,11 @@
         sender = message.sender
         if sender.name == self.config.name and sender.instance == self.me.instance:
             return  # one's own, come back
-        held = self.facts.get(sender.name)
+        current = self.facts.get(sender.name)
         self._merge(sender)
-        if held is not None and held.state is not State.ALIVE and held.rank >= sender.rank:
-            # It does not know what is held of it, and so cannot refute it.
-            self._send(Kind.GOSSIP, sender.address, facts=(held,))
+        if current is not None and current.state is not State.ALIVE and current.rank >= sender.rank:
+            # It does not know what this process records of it, and so cannot refute it.
+            self._send(Kind.GOSSIP, sender.address, facts=(current,))
         for fact in message.facts:
             self._merge(fact)
         if self.displaced or self.left:
@@ -186,12 +186,12 @@
         if fact.name == self.config.name:
             self._refute(fact)
             return
-        held = self.facts.get(fact.name)
+        current = self.facts.get(fact.name)
         limit = MAX_MEMBERS_FACTOR * self.config.fleet + MAX_MEMBERS_FACTOR
-        if held is None and (fact.state >= State.DEAD or len(self.facts) >= limit):
+        if current is None and (fact.state >= State.DEAD or len(self.facts) >= limit):
             return  # nothing is known that this could change; or too many names are in use
-        if held is not None and fact.rank <= held.rank:
-            if fact.rank == held.rank and fact.state is State.SUSPECT:
+        if current is not None and fact.rank <= current.rank:
+            if fact.rank == current.rank and fact.state is State.SUSPECT:
                 suspicion = self._suspicions.get(fact.name)
                 if suspicion is not None and suspicion.confirm(fact.by):
                     self._gossip_queue.add(fact)
@@ -209,15 +209,15 @@
             return
         self._suspicions.pop(fact.name, None)
         if fact.state is State.ALIVE:
-            if held is None or held.state >= State.DEAD:
+            if current is None or current.state >= State.DEAD:
                 self._order.insert(self.rng.randrange(len(self._order) + 1), fact.name)
                 self._effects.append(Notice("joined", fact.name))
-            elif held.instance != fact.instance:
+            elif current.instance != fact.instance:
                 self._effects.append(Notice("restarted", fact.name))
         else:
             self._lost[fact.name] = self.now + REMEMBER_FAILED * self.config.period
             event = "left" if fact.state is State.LEFT else "failed"
-            if held is None or held.state < State.DEAD:
+            if current is None or current.state < State.DEAD:
                 self._effects.append(Notice(event, fact.name))
 
     def _refute(self, fact: Fact) -> None:
@@ -246,13 +246,13 @@
             self._send(Kind.GOSSIP, to, facts=tuple(known[start : start + FACTS_PER_MESSAGE]))
 
     def _digest(self) -> int:
-        """Of all that are held to be there; the same facts give the same number."""
-        whole = 0
+        """Of all that are recorded as there; the same facts give the same number."""
+        combined = 0
         for fact in self.facts.values():
             if fact.state < State.DEAD:
                 text = f"{fact.name} {fact.instance} {fact.incarnation} {int(fact.state)}".encode()
-                whole ^= int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
-        return whole
+                combined ^= int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
+        return combined
 
     # --- probes
 
@@ -292,7 +292,7 @@
         target = self.facts[probe.target]
         helpers = [fact for fact in self._others() if fact.state is State.ALIVE and fact.name != probe.target]
         for helper in self.rng.sample(helpers, min(self.config.helpers, len(helpers))):
-            probe.asked, probe.nacks = probe.asked + 1, probe.nacks + 1
+            probe.ping_reqs_sent, probe.nacks = probe.ping_reqs_sent + 1, probe.nacks + 1
             self._send(Kind.ASK, helper.address, number=probe.number, target=target.name)
 
     def _relay(self, message: Message) -> None:
@@ -305,25 +305,25 @@
         self._at(self.now + self.config.timeout, self._relay_over, number)
 
     def _relay_over(self, number: int) -> None:
-        asked, answered = self._relayed.pop(number, (None, True))
-        if asked is not None and not answered:
-            self._send(Kind.NACK, asked.sender.address, number=asked.number)
+        request, answered = self._relayed.pop(number, (None, True))
+        if request is not None and not answered:
+            self._send(Kind.NACK, request.sender.address, number=request.number)
 
     def _acknowledged(self, message: Message) -> None:
         if self._probe is not None and message.number == self._probe.number and not self._probe.answered:
             self._probe.answered, self._waking = True, False
             self.health.better()
-        asked, answered = self._relayed.get(message.number, (None, True))
-        if asked is not None and not answered:
-            self._relayed[message.number] = (asked, True)
-            self._send(Kind.ACK, asked.sender.address, number=asked.number)
+        request, answered = self._relayed.get(message.number, (None, True))
+        if request is not None and not answered:
+            self._relayed[message.number] = (request, True)
+            self._send(Kind.ACK, request.sender.address, number=request.number)
 
     def _unanswered(self, probe: Probe) -> None:
         """The period is over and nobody got through. What helpers did not say may be lost on this side."""
         if probe is not self._probe or probe.answered:
             return
         self._probe = None
-        self.health.worse(probe.nacks if probe.asked else 1)
+        self.health.worse(probe.nacks if probe.ping_reqs_sent else 1)
         fact = self.facts.get(probe.target)
         if fact is not None and fact.state < State.DEAD:
             self._merge(replace(fact, state=State.SUSPECT, by=self.config.name))
@@ -371,8 +371,8 @@
             self._gossip_queue.forget(name)
         known = {fact.address for fact in self._others()}
         lost = {self.facts[name].address for name in self._lost if self.facts[name].state is State.DEAD}
-        if tries := sorted(lost | (set(self.config.seeds) - known)):
-            self._request_sync(self.rng.choice(tries))
+        if candidates := sorted(lost | (set(self.config.seeds) - known)):
+            self._request_sync(self.rng.choice(candidates))
 
     def _leave(self) -> None:
         self.left = True
