--- a/grebeproxy/membership/lease.py
+++ b/grebeproxy/membership/lease.py
@@ -80,8 +80,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TokenRefused:
-    """What the lease is for was refused: a token this high was seen where it takes effect."""
+class TokenRejected:
+    """What the lease is for was rejected: a token this high was seen where it takes effect."""
 
     lease: str
     token: Token
@@ -92,7 +92,7 @@
     """The time asked for with ``Wake`` has come."""
 
 
-Event = Union[VoteReceived, ViewUpdated, LeaseWanted, TokenRefused, Woken]
+Event = Union[VoteReceived, ViewUpdated, LeaseWanted, TokenRejected, Woken]
 
 
 @dataclass(frozen=True, slots=True)
@@ -180,7 +180,7 @@
                         self._votes_from = now + self.length * (1.0 + DRIFT)
                 case LeaseWanted(lease, wanted):
                     self._want(lease, wanted)
-                case TokenRefused(lease, token):
+                case TokenRejected(lease, token):
                     if (claim := self._claims.get(lease)) is not None:
                         claim.ballot = max(claim.ballot, min(token[0], MAX_BALLOT))
                         self._give_up(lease, claim)
--- a/grebeproxy/peers/node.py
+++ b/grebeproxy/peers/node.py
@@ -138,7 +138,7 @@
                     self._step_membership(now, membership.LeaveRequested())
                     self.ended = True
                 case Declined(duty, token):
-                    self._step_leases(now, lease.TokenRefused(duty, token))
+                    self._step_leases(now, lease.TokenRejected(duty, token))
         if not self.ended:
             for part, due in list(self._wakes.items()):
                 if now >= due:
--- a/tests/voters.py
+++ b/tests/voters.py
@@ -15,7 +15,7 @@
     LeaseAcquired,
     Leases,
     LeaseLost,
-    TokenRefused,
+    TokenRejected,
     SendVote,
     Token,
     ViewUpdated,
@@ -126,7 +126,7 @@
             self.acts.append((self.now, n, event[0]))
         else:
             self.refused += 1
-            self.do(n, TokenRefused(LEASE, self.fence.highest(LEASE)))
+            self.do(n, TokenRejected(LEASE, self.fence.highest(LEASE)))
 
     def trouble(self) -> None:
         """One random fault, or the end of one."""
