--- a/grebeproxy/lab/control/fleet.py
+++ b/grebeproxy/lab/control/fleet.py
@@ -27,7 +27,7 @@
 KEY = b"key of a simulated fleet"
 LEASE_SECONDS = 3.0
 DUTY = Duty("primary", ("127.0.0.1", 9000), 1.0)
-SHORTEST_SLEEP = 0.001  # of a router's timer, as in ``peers.edge``
+SHORTEST_SLEEP = 0.001  # of a router's timer, as in ``peers.runtime``
 POLL_SECONDS = 0.05  # between two looks at whether a condition holds
 KEY_NAME = "share"  # of the key that each router publishes
 REPLICA_OFF = Limits(every=1e9)  # one digest at the start, and none after
--- a/grebeproxy/lab/scale/member.py
+++ b/grebeproxy/lab/scale/member.py
@@ -13,7 +13,7 @@
 from grebeproxy.membership.lease import Token
 from grebeproxy.membership.wire import Sealed, WireError
 from grebeproxy.peers import Node, PeersConfig, node
-from grebeproxy.peers.edge import DUTY_WITHIN, report
+from grebeproxy.peers.runtime import DUTY_WITHIN, report
 from grebeproxy.peers.operator_file import Duty
 
 SHORTEST_DELAY_S = 0.001  # as in the product's edge
--- a/grebeproxy/peers/node.py
+++ b/grebeproxy/peers/node.py
@@ -1,7 +1,7 @@
 """Membership, leases and copies put together: what each message is for, what each part learns of the others.
 
 I/O-free like its parts: ``step(now, events)`` gives effects. Payloads are what a datagram's body carries; the
-edge seals and opens them.
+runtime seals and opens them.
 """
 
 from __future__ import annotations
