--- a/grebeproxy/lab/control/fleet.py
+++ b/grebeproxy/lab/control/fleet.py
@@ -206,7 +206,7 @@
         except WireError:
             self.refused_packets += 1  # as the edge does; the window of numbers has moved on past it
             return
-        effects = process.node.step(self.now, [node.Came(payload)])
+        effects = process.node.step(self.now, [node.PayloadReceived(payload)])
         spent = process_time_ns() - began
         usage = process.account.by_traffic[TRAFFIC_OF_PAYLOAD[payload[0]]]
         usage.cpu_ns += spent
@@ -298,7 +298,7 @@
 
 def copy_of(record: Record) -> Record:
     """A record with entries of its own."""
-    return Record(record.life, record.top, record.at, dict(record.entries))
+    return Record(record.incarnation, record.top, record.at, dict(record.entries))
 
 
 def _traffic_of(effects: Iterable[node.Effect]) -> Traffic:
--- a/grebeproxy/lab/control/memory.py
+++ b/grebeproxy/lab/control/memory.py
@@ -40,7 +40,7 @@
         acquaint(core, senders, NOW)
         core.step(NOW, [])
         for payload in payloads:
-            core.step(NOW, [node.Came(payload)])
+            core.step(NOW, [node.PayloadReceived(payload)])
         core._effects.clear()
         core.members._effects, core.store._effects = [], []
         del payloads, senders
--- a/grebeproxy/lab/scale/member.py
+++ b/grebeproxy/lab/scale/member.py
@@ -69,7 +69,7 @@
             except WireError:
                 self.refused += 1
                 return
-            self._carry_out(self.node.step(self._clock.now(), [node.Came(payload)]))
+            self._carry_out(self.node.step(self._clock.now(), [node.PayloadReceived(payload)]))
 
     def error_received(self, exc: Exception) -> None:
         """A member's machine said that nobody listens: its probe tells as much."""
--- a/grebeproxy/peers/node.py
+++ b/grebeproxy/peers/node.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Came:
+class PayloadReceived:
     """The payload of a datagram."""
 
     payload: Any
@@ -50,7 +50,7 @@
     token: Token
 
 
-Event = Union[Came, Tick, Ending, Declined]
+Event = Union[PayloadReceived, Tick, Ending, Declined]
 
 
 # --- effects
@@ -108,7 +108,7 @@
         self.leases = Leases(member.name, instance, member.fleet, config.lease, rng, now)
         self.store = Store(member.name, limits or Limits(), rng, now)
         self.ended = False
-        self.refused = 0  # payloads that could not be read
+        self.rejected = 0  # payloads that could not be read
         self._effects: list[Effect] = []
         self._wakes = {"members": now, "leases": now, "store": now}
         self._wake_at: float | None = None
@@ -129,7 +129,7 @@
             if self.ended:
                 break
             match event:
-                case Came(payload):
+                case PayloadReceived(payload):
                     self._on_payload(now, payload)
                 case Tick():
                     self._wake_at = None
@@ -183,9 +183,9 @@
                 if rest[0] in self.view.members:
                     self._step_store(now, MessageReceived(rest[0], message))
             else:
-                self.refused += 1
+                self.rejected += 1
         except (wire.WireError, IndexError, KeyError, TypeError, ValueError):
-            self.refused += 1
+            self.rejected += 1
 
     def _knows(self, name: Any, instance: Any) -> bool:
         """Guards the votes against a process that is not, or not any longer, the one of its name."""
@@ -263,27 +263,27 @@
 def _pack(name: str, message: Digest | Delta) -> list[object]:
     if isinstance(message, Digest):
         versions = [[origin, *version] for origin, version in message.versions]
-        return [DIGEST, name, versions, message.whole, message.asks]
+        return [DIGEST, name, versions, message.complete, message.requests_newer]
     fields = [list(entry) for entry in message.entries]
-    return [DELTA, name, message.origin, *message.life, message.base, message.top, message.age, fields]
+    return [DELTA, name, message.origin, *message.incarnation, message.base, message.top, message.age, fields]
 
 
 def _unpack_digest(fields: list[Any]) -> Digest:
-    versions, whole, asks = fields[:3]
+    versions, complete, requests_newer = fields[:3]
     if len(versions) > MAX_ENTRIES:
         raise ValueError("too many origins")
     return Digest(
         tuple(
-            (_text(origin), (_count(generation), _count(life), _count(top)))
-            for origin, generation, life, top in versions
+            (_text(origin), (_count(generation), _count(incarnation), _count(top)))
+            for origin, generation, incarnation, top in versions
         ),
-        whole is True,
-        asks is True,
+        complete is True,
+        requests_newer is True,
     )
 
 
 def _unpack_delta(fields: list[Any]) -> Delta:
-    origin, generation, life, base, top, age, entries = fields[:7]
+    origin, generation, incarnation, base, top, age, entries = fields[:7]
     if len(entries) > MAX_ENTRIES or not isinstance(age, int | float) or not age >= 0.0:
         raise ValueError("not a delta")
     for _, _, value in entries:
@@ -291,7 +291,7 @@
             raise ValueError("not a value")
     return Delta(
         _text(origin),
-        (_count(generation), _count(life)),
+        (_count(generation), _count(incarnation)),
         _count(base),
         _count(top),
         float(age),
--- a/grebeproxy/peers/runtime.py
+++ b/grebeproxy/peers/runtime.py
@@ -58,7 +58,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._duties: dict[str, asyncio.Task[None]] = {}
-        self._refused: dict[str, int] = {}
+        self._rejected: dict[str, int] = {}
 
     def now(self) -> float:
         """The clock that all goes by."""
@@ -88,11 +88,11 @@
             payload = self._sealed.open(data)
         except WireError as error:
             reason = str(error)
-            self._refused[reason] = count = self._refused.get(reason, 0) + 1
+            self._rejected[reason] = count = self._rejected.get(reason, 0) + 1
             if count & (count - 1) == 0:  # 1, 2, 4, 8 …: bounded, however many come
                 self._log.line("packet not taken", reason=reason, count=count)
             return
-        self._carry_out(self.node.step(self.now(), [node.Came(payload)]))
+        self._carry_out(self.node.step(self.now(), [node.PayloadReceived(payload)]))
 
     def error_received(self, exc: Exception) -> None:
         """A member's machine reports that nobody listens: its probe shows as much."""
@@ -154,6 +154,6 @@
     match line.decode("utf-8", "replace").split():
         case ["ACK", *_]:
             return None
-        case ["NAK", ballot, holder] if ballot.isdecimal() and len(ballot) <= 16:
-            return int(ballot), holder
+        case ["NAK", ballot, lease_holder] if ballot.isdecimal() and len(ballot) <= 16:
+            return int(ballot), lease_holder
     raise OSError(f"not an answer: {line[:40]!r}")
--- a/grebeproxy/replica/records.py
+++ b/grebeproxy/replica/records.py
@@ -2,8 +2,8 @@
 
 An origin counts its changes. A copy holds all changes up to its ``top`` and of each key the latest, so a copy
 with the higher top holds whatever the other does, and copies are told apart by one number. Each process of an
-origin has a ``life``: a copy of a later life takes the place of one of an earlier life whole. Joining is the
-same in any order and however often it is done.
+origin has an ``incarnation``: a copy of a later incarnation replaces one of an earlier one completely.
+Joining is the same in any order and however often it is done.
 """
 
 from __future__ import annotations
@@ -11,15 +11,17 @@
 from dataclasses import dataclass, field
 
 Entry = tuple[int, bytes | None]  # the change that made it, and the value; ``None`` where it was taken back
-Life = tuple[int, int]  # how often the origin had to begin above an earlier process, and a random number
-Version = tuple[int, int, int]  # life and top
+Incarnation = tuple[
+    int, int
+]  # how often the origin had to begin above an earlier process, and a random number
+Version = tuple[int, int, int]  # incarnation and top
 
 
 @dataclass(slots=True)
 class Record:
     """One origin's keys. ``at`` is when its latest change was made, on the local clock, as far as known."""
 
-    life: Life = (0, 0)
+    incarnation: Incarnation = (0, 0)
     top: int = 0
     at: float = 0.0
     entries: dict[str, Entry] = field(default_factory=dict)
@@ -27,7 +29,7 @@
     @property
     def version(self) -> Version:
         """How far this copy goes."""
-        return (*self.life, self.top)
+        return (*self.incarnation, self.top)
 
     def size(self) -> int:
         """Bytes of keys and values."""
@@ -35,10 +37,15 @@
 
     def join(self, other: Record) -> None:
         """Take what the other copy holds and this one does not."""
-        if other.life < self.life:
+        if other.incarnation < self.incarnation:
             return
-        if other.life > self.life:
-            self.life, self.top, self.at, self.entries = other.life, other.top, other.at, dict(other.entries)
+        if other.incarnation > self.incarnation:
+            self.incarnation, self.top, self.at, self.entries = (
+                other.incarnation,
+                other.top,
+                other.at,
+                dict(other.entries),
+            )
             return
         for key, entry in other.entries.items():
             self.entries[key] = max(self.entries.get(key, (-1, None)), entry, key=_rank)
@@ -56,11 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """How far the sender's copies go. ``whole``: it holds no others; ``asks``: send what is newer."""
+    """How far the sender's copies go, as ``(origin, (generation, random, top))`` pairs.
+
+    ``complete``: the sender holds no other origins; ``requests_newer``: the receiver sends what is newer.
+    """
 
     versions: tuple[tuple[str, Version], ...]
-    whole: bool = False
-    asks: bool = True
+    complete: bool = False
+    requests_newer: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +81,7 @@
     """
 
     origin: str
-    life: Life
+    incarnation: Incarnation
     base: int
     top: int
     age: float
--- a/grebeproxy/replica/store.py
+++ b/grebeproxy/replica/store.py
@@ -30,7 +30,7 @@
     origins: int = 1024
     keys: int = 256  # of one origin
     value: int = 600  # bytes of one value
-    record: int = 32 * 1024  # bytes of all that is held of one origin
+    record: int = 32 * 1024  # bytes of all that is cached of one origin
     every: float = 0.5  # between exchanges
     ttl: float = 15.0
 
@@ -84,7 +84,7 @@
         self.name, self.limits, self.rng, self.now = name, limits, rng, now
         self.records: dict[str, Record] = {name: Record((0, rng.getrandbits(48)), 0, now)}
         self.next_at = now  # when it wants to be woken
-        self.refused = 0  # deltas beyond the bounds
+        self.rejected = 0  # deltas beyond the bounds
         self._members: tuple[str, ...] = ()
         self._from = 0  # where the next digest begins
         self._tombstones: dict[tuple[str, str], float] = {}  # keys taken back, and when that was learned
@@ -124,7 +124,7 @@
     def _outbid(self, theirs: Version) -> None:
         """An earlier process of this name, or a twin, has a higher life: begin one above it."""
         mine = self.records[self.name]
-        mine.life = (min(theirs[0], MAX_TOP) + 1, mine.life[1])
+        mine.incarnation = (min(theirs[0], MAX_TOP) + 1, mine.incarnation[1])
         self._change(self.now, HEARTBEAT_KEY, b"")
 
     # --- reading
@@ -182,7 +182,9 @@
         """How far all copies go, or as many of them as fit, others each time."""
         origins = sorted(self.records)
         if len(origins) <= PER_DIGEST:
-            return [Digest(tuple((origin, self.records[origin].version) for origin in origins), whole=True)]
+            return [
+                Digest(tuple((origin, self.records[origin].version) for origin in origins), complete=True)
+            ]
         most = min(len(origins), PER_DIGEST * DIGESTS)
         start, self._from = self._from % len(origins), self._from + most
         turn = (origins + origins)[start : start + most]
@@ -192,28 +194,30 @@
     def _compare(self, sender: str, digest: Digest) -> None:
         behind = []
         for origin, theirs in digest.versions:
-            held = self.records.get(origin, NOTHING)
-            if origin == self.name and theirs[:2] > held.life:
+            cached = self.records.get(origin, NOTHING)
+            if origin == self.name and theirs[:2] > cached.incarnation:
                 self._outbid(theirs)
-            if held.version > theirs:
-                self._send_changes(sender, origin, held, theirs[2] if held.life == theirs[:2] else 0)
-            elif held.version < theirs:
-                behind.append((origin, held.version))
-        if digest.whole:
+            if cached.version > theirs:
+                self._send_changes(
+                    sender, origin, cached, theirs[2] if cached.incarnation == theirs[:2] else 0
+                )
+            elif cached.version < theirs:
+                behind.append((origin, cached.version))
+        if digest.complete:
             named = {origin for origin, _ in digest.versions}
             for origin in sorted(self.records.keys() - named):
                 self._send_changes(sender, origin, self.records[origin], 0)
-        if behind and digest.asks:
-            self._effects.append(Send(sender, Digest(tuple(behind), asks=False)))
+        if behind and digest.requests_newer:
+            self._effects.append(Send(sender, Digest(tuple(behind), requests_newer=False)))
 
-    def _send_changes(self, to: str, origin: str, held: Record, base: int) -> None:
+    def _send_changes(self, to: str, origin: str, cached: Record, base: int) -> None:
         """The changes after ``base``, in their order, as many as fit; the rest at the next exchange."""
-        age = max(0.0, self.now - held.at)
+        age = max(0.0, self.now - cached.at)
         if origin != self.name and age >= self.limits.ttl:
             return
         entries: list[tuple[str, int, bytes | None]] = []
-        size, top = 0, held.top
-        for key, (number, value) in sorted(held.entries.items(), key=lambda item: item[1][0]):
+        size, top = 0, cached.top
+        for key, (number, value) in sorted(cached.entries.items(), key=lambda item: item[1][0]):
             if number <= base:
                 continue
             size += len(key.encode()) + len(value or b"") + 16
@@ -221,33 +225,37 @@
                 top = entries[-1][1]
                 break
             entries.append((key, number, value))
-        self._effects.append(Send(to, Delta(origin, held.life, base, top, age, tuple(entries))))
+        self._effects.append(Send(to, Delta(origin, cached.incarnation, base, top, age, tuple(entries))))
 
     def _apply(self, delta: Delta) -> None:
-        held = self.records.get(delta.origin)
+        cached = self.records.get(delta.origin)
         if delta.age >= self.limits.ttl or not 0 <= delta.base <= delta.top <= MAX_TOP:
             return
         if delta.origin == self.name:
-            if delta.life > self.records[self.name].life:
-                self._outbid((*delta.life, delta.top))
+            if delta.incarnation > self.records[self.name].incarnation:
+                self._outbid((*delta.incarnation, delta.top))
             return
-        same = held is not None and held.life == delta.life
-        if delta.base > (held.top if held is not None and same else 0):
+        same = cached is not None and cached.incarnation == delta.incarnation
+        if delta.base > (cached.top if cached is not None and same else 0):
             return  # changes before it are missing: a message was lost
-        if held is not None and (*delta.life, delta.top) < held.version:
+        if cached is not None and (*delta.incarnation, delta.top) < cached.version:
             return
         entries: dict[str, Entry] = {key: (number, value) for key, number, value in delta.entries}
-        theirs = Record(delta.life, delta.top, self.now - max(0.0, delta.age), entries)
-        made = Record(held.life, held.top, held.at, dict(held.entries)) if held is not None else Record()
+        theirs = Record(delta.incarnation, delta.top, self.now - max(0.0, delta.age), entries)
+        made = (
+            Record(cached.incarnation, cached.top, cached.at, dict(cached.entries))
+            if cached is not None
+            else Record()
+        )
         made.join(theirs)
         if (
             len(made.entries) > self.limits.keys
             or made.size() > self.limits.record
-            or (held is None and len(self.records) >= self.limits.origins)
+            or (cached is None and len(self.records) >= self.limits.origins)
         ):
-            self.refused += 1
+            self.rejected += 1
             return
-        before = {key: entry[1] for key, entry in held.entries.items()} if held is not None else {}
+        before = {key: entry[1] for key, entry in cached.entries.items()} if cached is not None else {}
         for key, _, value in delta.entries:
             if key in made.entries and made.entries[key][1] == value:
                 self._record_tombstone(delta.origin, key, value)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -14,7 +14,7 @@
 from grebeproxy.membership.model import Fact, Kind, Message, State
 from grebeproxy.membership.wire import MAX_BYTES, Sealed, packed
 from grebeproxy.peers import OperatorFileError, load, parse
-from grebeproxy.peers.node import Came, Datagram, Node, Tick, Wake
+from grebeproxy.peers.node import PayloadReceived, Datagram, Node, Tick, Wake
 from grebeproxy.replica.store import DELTA_BYTES, PER_DIGEST, Limits
 
 WHOLE = """
@@ -134,9 +134,9 @@
 def test_payloads_that_make_no_sense_are_counted_and_harm_nothing(payloads: list[Any]) -> None:
     router = node()
     for number, payload in enumerate(payloads):
-        router.step(0.01 * number, [Came(payload)])
+        router.step(0.01 * number, [PayloadReceived(payload)])
     assert router.view.members == ("n1",)
-    assert router.refused <= len(payloads)
+    assert router.rejected <= len(payloads)
 
 
 def test_the_longest_of_each_kind_fits_a_packet() -> None:
@@ -157,12 +157,12 @@
 def test_a_vote_counts_only_from_the_process_that_is_the_member() -> None:
     one = node()
     other = Fact("n2", ("127.0.0.1", 7947), 9, 0, State.ALIVE)
-    one.step(1.0, [Came([1, packed(Message(Kind.GOSSIP, other))])])
+    one.step(1.0, [PayloadReceived([1, packed(Message(Kind.GOSSIP, other))])])
     ask = Vote(VoteKind.ASK, "nightly", 3, 1)
     fields = [int(ask.kind), ask.lease, ask.ballot, ask.asked]
 
     def answers(instance: int) -> list[tuple[str, int]]:
-        effects = one.step(10.0, [Came([2, "n2", instance, fields])])
+        effects = one.step(10.0, [PayloadReceived([2, "n2", instance, fields])])
         votes = [e for e in effects if isinstance(e, Datagram) and e.payload[0] == 2]
         return [vote.to for vote in votes if vote.payload[3][0] in (2, 3)]
 
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -236,7 +236,7 @@
         assert origin not in store.records
     for n in range(1, 9):
         store.step(0.0, [MessageReceived("n9", Delta(f"n{n}", LIFE, 0, 1, 0.0, (("k", 1, b"v"),)))])
-    assert len(store.records) == 4 and store.refused == 2 + 5
+    assert len(store.records) == 4 and store.rejected == 2 + 5
 
 
 def test_what_was_taken_back_is_forgotten_in_time() -> None:
