--- a/grebeproxy/peers/node.py
+++ b/grebeproxy/peers/node.py
@@ -12,6 +12,7 @@
 from typing import Any, Union
 
 from grebeproxy import membership
+from grebeproxy.errors import GrebeproxyError
 from grebeproxy.membership import lease, wire
 from grebeproxy.membership.lease import Leases, Token, Vote, VoteKind
 from grebeproxy.membership.model import Address, View
@@ -20,6 +21,11 @@
 
 MEMBER, VOTE, DIGEST, DELTA = 1, 2, 3, 4
 MAX_ENTRIES = 64
+MAX_NAME_BYTES = 64
+
+
+class PayloadError(GrebeproxyError, ValueError):
+    """A payload that carries the key but whose fields make no sense; the node counts it as rejected."""
 
 
 # --- events
@@ -271,7 +277,7 @@
 def _unpack_digest(fields: list[Any]) -> Digest:
     versions, complete, requests_newer = fields[:3]
     if len(versions) > MAX_ENTRIES:
-        raise ValueError("too many origins")
+        raise PayloadError("too many origins")
     return Digest(
         tuple(
             (_text(origin), (_count(generation), _count(incarnation), _count(top)))
@@ -285,10 +291,10 @@
 def _unpack_delta(fields: list[Any]) -> Delta:
     origin, generation, incarnation, base, top, age, entries = fields[:7]
     if len(entries) > MAX_ENTRIES or not isinstance(age, int | float) or not age >= 0.0:
-        raise ValueError("not a delta")
+        raise PayloadError("not a delta")
     for _, _, value in entries:
         if value is not None and not isinstance(value, bytes):
-            raise ValueError("not a value")
+            raise PayloadError("not a value")
     return Delta(
         _text(origin),
         (_count(generation), _count(incarnation)),
@@ -300,12 +306,12 @@
 
 
 def _text(value: Any) -> str:
-    if not isinstance(value, str) or len(value.encode()) > 64:
-        raise ValueError("not a name")
+    if not isinstance(value, str) or len(value.encode()) > MAX_NAME_BYTES:
+        raise PayloadError("not a name")
     return value
 
 
 def _count(value: Any) -> int:
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        raise ValueError("not a number")
+        raise PayloadError("not a number")
     return int(value)
--- a/grebeproxy/peers/operator_file.py
+++ b/grebeproxy/peers/operator_file.py
@@ -10,12 +10,13 @@
 import hcl2
 from lark.exceptions import LarkError
 
+from grebeproxy.errors import GrebeproxyError
 from grebeproxy.membership import Config
 
 MAX_DUTIES = 32
 
 
-class OperatorFileError(Exception):
+class OperatorFileError(GrebeproxyError):
     """A file that cannot be used; the text begins with the faulty key."""
 
 
--- a/grebeproxy/peers/runtime.py
+++ b/grebeproxy/peers/runtime.py
@@ -15,6 +15,7 @@
 
 import structlog
 
+from grebeproxy.errors import GrebeproxyError
 from grebeproxy.membership.lease import Token
 from grebeproxy.membership.wire import Sealed, WireError
 from grebeproxy.peers import node
@@ -22,6 +23,14 @@
 
 LINES_A_SECOND = 20  # of the log, beyond which they are counted and left out
 DUTY_WITHIN = 2.0  # seconds for one report
+MAX_BALLOT_DIGITS = 16
+
+
+class DutyAnswerError(GrebeproxyError, OSError):
+    """The place where a duty takes effect answered with a line that is neither ``ACK`` nor ``NAK``.
+
+    Derives from ``OSError`` as well, so that it is logged as ``duty not reported`` like a lost connection.
+    """
 
 
 class Log:
@@ -144,7 +153,11 @@
 
 
 async def report(duty: Duty, token: Token) -> Token | None:
-    """Do a duty once. Gives the higher token where it was refused. Raises ``OSError`` for other answers."""
+    """Do a duty once over a connection of its own; ``None`` where it was acknowledged.
+
+    Gives the higher ``(ballot, lease holder)`` token where it was rejected. Raises ``OSError`` where the
+    connection fails and ``DutyAnswerError`` for any other answer.
+    """
     reader, writer = await asyncio.open_connection(*duty.report)
     try:
         writer.write(f"do {duty.name} {token[0]} {token[1]}\n".encode())
@@ -154,6 +167,6 @@
     match line.decode("utf-8", "replace").split():
         case ["ACK", *_]:
             return None
-        case ["NAK", ballot, lease_holder] if ballot.isdecimal() and len(ballot) <= 16:
+        case ["NAK", ballot, lease_holder] if ballot.isdecimal() and len(ballot) <= MAX_BALLOT_DIGITS:
             return int(ballot), lease_holder
-    raise OSError(f"not an answer: {line[:40]!r}")
+    raise DutyAnswerError(f"not an answer: {line[:40]!r}")
--- a/grebeproxy/replica/__init__.py
+++ b/grebeproxy/replica/__init__.py
@@ -3,7 +3,16 @@
 """
 
 from grebeproxy.replica.records import Delta, Digest, Entry, Record
-from grebeproxy.replica.store import Changed, Limits, Members, MessageReceived, Send, Store, Woken
+from grebeproxy.replica.store import (
+    Changed,
+    Limits,
+    Members,
+    MessageReceived,
+    PublishLimitError,
+    Send,
+    Store,
+    Woken,
+)
 
 __all__ = [
     "Changed",
@@ -13,6 +22,7 @@
     "Limits",
     "Members",
     "MessageReceived",
+    "PublishLimitError",
     "Record",
     "Send",
     "Store",
--- a/grebeproxy/replica/store.py
+++ b/grebeproxy/replica/store.py
@@ -14,6 +14,7 @@
 from random import Random
 from typing import Union
 
+from grebeproxy.errors import GrebeproxyError
 from grebeproxy.replica.records import Delta, Digest, Entry, Record, Version
 
 HEARTBEAT_KEY = ""  # the key that an origin changes only to show that it is there
@@ -21,6 +22,14 @@
 DELTA_BYTES = 800  # of keys and values in one packet
 MAX_TOP = 2**53
 NOTHING = Record((-1, 0))
+MAX_KEY_BYTES = 64
+
+
+class PublishLimitError(GrebeproxyError, ValueError):
+    """A value could not be published: the key or the record would go beyond ``Limits``.
+
+    Derives from ``ValueError`` as well, which callers caught before this class existed.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,21 +102,21 @@
     # --- one's own
 
     def put(self, now: float, key: str, value: bytes | None) -> None:
-        """Publish a value, or with ``None`` take it back. Raises ``ValueError`` beyond the bounds."""
+        """Publish a value, or with ``None`` take it back. Raises ``PublishLimitError`` beyond the bounds."""
         mine, limits = self.records[self.name], self.limits
-        if not key or len(key.encode()) > 64:
-            raise ValueError("key: must have 1 to 64 bytes")
+        if not key or len(key.encode()) > MAX_KEY_BYTES:
+            raise PublishLimitError(f"key: must have 1 to {MAX_KEY_BYTES} bytes")
         if value is not None and len(value) > limits.value:
-            raise ValueError(f"{key}: a value has {limits.value} bytes at most")
+            raise PublishLimitError(f"{key}: a value has {limits.value} bytes at most")
         if mine.entries.get(key, (0, None))[1] == value:
             return
         before = mine.entries.get(key)
         if before is None and len(mine.entries) >= limits.keys - 1:
-            raise ValueError(f"{key}: there are {limits.keys} keys at most")
+            raise PublishLimitError(f"{key}: there are {limits.keys} keys at most")
         self._change(now, key, value)
         if value is not None and mine.size() > limits.record:
             self._change(now, key, None if before is None else before[1])
-            raise ValueError(f"{key}: all that is published has {limits.record} bytes at most")
+            raise PublishLimitError(f"{key}: all that is published has {limits.record} bytes at most")
 
     def _change(self, now: float, key: str, value: bytes | None) -> None:
         mine = self.records[self.name]
