--- a/grebeproxy/peers/node.py
+++ b/grebeproxy/peers/node.py
@@ -146,15 +146,19 @@
                 case Declined(duty, token):
                     self._step_leases(now, lease.TokenRefused(duty, token))
         if not self.ended:
-            for part, due in list(self._wakes.items()):
-                if now >= due:
-                    self._wake(now, part)
-            at = min(self._wakes.values())
-            if self._wake_at is None or at < self._wake_at:
-                self._wake_at = at
-                self._effects.append(Wake(at))
+            self._wake_due_parts(now)
         return self._effects
 
+    def _wake_due_parts(self, now: float) -> None:
+        """Wake each part whose time has come, and ask for a ``Wake`` where the earliest one moved up."""
+        for part, due in list(self._wakes.items()):
+            if now >= due:
+                self._wake(now, part)
+        at = min(self._wakes.values())
+        if self._wake_at is None or at < self._wake_at:
+            self._wake_at = at
+            self._effects.append(Wake(at))
+
     def begin(self, now: float) -> list[Effect]:
         """The first effects."""
         self._step_leases(now, *(lease.LeaseWanted(duty.name) for duty in self.config.duties))
--- a/grebeproxy/peers/operator_file.py
+++ b/grebeproxy/peers/operator_file.py
@@ -14,6 +14,10 @@
 from grebeproxy.membership import Config
 
 MAX_DUTIES = 32
+KEY_BYTES = (16, 64)  # least and most bytes of the shared key
+MAX_DUTY_NAME_BYTES = 64
+NUMBER_BOUND = 1e9  # any number in the file is below this
+IPV4_OCTETS, OCTET_BOUND, PORT_BOUND = 4, 256, 65536
 
 
 class OperatorFileError(GrebeproxyError):
@@ -76,8 +80,8 @@
     fields.done()
     if fleet != int(fleet):
         raise OperatorFileError("peers.fleet: must be a whole number")
-    if not 16 <= len(key.encode()) <= 64:
-        raise OperatorFileError("peers.key: must have 16 to 64 bytes")
+    if not KEY_BYTES[0] <= len(key.encode()) <= KEY_BYTES[1]:
+        raise OperatorFileError(f"peers.key: must have {KEY_BYTES[0]} to {KEY_BYTES[1]} bytes")
     try:
         member = Config(name, advertise, int(fleet), seeds, period, timeout, settle=settle)
     except ValueError as error:
@@ -90,8 +94,8 @@
 
 def _duty(block: dict[str, Any]) -> Duty:
     [(name, document)] = block.items()
-    if not 1 <= len(name.encode()) <= 64 or not name.isprintable() or " " in name:
-        raise OperatorFileError("duty: a name has 1 to 64 bytes and no spaces")
+    if not 1 <= len(name.encode()) <= MAX_DUTY_NAME_BYTES or not name.isprintable() or " " in name:
+        raise OperatorFileError(f"duty: a name has 1 to {MAX_DUTY_NAME_BYTES} bytes and no spaces")
     fields = Fields(f"duty.{name}", document)
     duty = Duty(name, fields.address("report"), fields.seconds("every_ms", 1000.0))
     fields.done()
@@ -122,7 +126,7 @@
         """A number of at least so much."""
         value = self._take(name)
         value = default if value is None else value
-        if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < 1e9:
+        if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < NUMBER_BOUND:
             raise self.fault(name, f"must be a number of {least:g} or more")
         return float(value)
 
@@ -149,9 +153,9 @@
         host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
         parts = host.split(".")
         if (
-            len(parts) != 4
-            or not all(part.isdecimal() and int(part) < 256 for part in parts)
-            or not (port.isdecimal() and 0 < int(port) < 65536)
+            len(parts) != IPV4_OCTETS
+            or not all(part.isdecimal() and int(part) < OCTET_BOUND for part in parts)
+            or not (port.isdecimal() and 0 < int(port) < PORT_BOUND)
         ):
             raise self.fault(name, f"{value!r} is not an IPv4 address and a port")
         return host, int(port)
