--- a/grebeproxy/lab/control/fleet.py
+++ b/grebeproxy/lab/control/fleet.py
@@ -27,7 +27,7 @@
 KEY = b"key of a simulated fleet"
 LEASE_SECONDS = 3.0
 DUTY = Duty("primary", ("127.0.0.1", 9000), 1.0)
-SHORTEST_SLEEP = 0.001  # of a router's timer, as in ``peers.edge``
+SHORTEST_SLEEP = 0.001  # of a router's timer, as in ``peers.runtime``
 POLL_SECONDS = 0.05  # between two looks at whether a condition holds
 KEY_NAME = "share"  # of the key that each router publishes
 REPLICA_OFF = Limits(every=1e9)  # one digest at the start, and none after
@@ -206,7 +206,7 @@
         except WireError:
             self.refused_packets += 1  # as the edge does; the window of numbers has moved on past it
             return
-        effects = process.node.step(self.now, [node.Came(payload)])
+        effects = process.node.step(self.now, [node.PayloadReceived(payload)])
         spent = process_time_ns() - began
         usage = process.account.by_traffic[TRAFFIC_OF_PAYLOAD[payload[0]]]
         usage.cpu_ns += spent
@@ -298,7 +298,7 @@
 
 def copy_of(record: Record) -> Record:
     """A record with entries of its own."""
-    return Record(record.life, record.top, record.at, dict(record.entries))
+    return Record(record.incarnation, record.top, record.at, dict(record.entries))
 
 
 def _traffic_of(effects: Iterable[node.Effect]) -> Traffic:
--- a/grebeproxy/peers/node.py
+++ b/grebeproxy/peers/node.py
@@ -1,7 +1,7 @@
 """Membership, leases and copies put together: what each message is for, what each part learns of the others.
 
 I/O-free like its parts: ``step(now, events)`` gives effects. Payloads are what a datagram's body carries; the
-edge seals and opens them.
+runtime seals and opens them.
 """
 
 from __future__ import annotations
@@ -12,6 +12,7 @@
 from typing import Any, Union
 
 from grebeproxy import membership
+from grebeproxy.errors import GrebeproxyError
 from grebeproxy.membership import lease, wire
 from grebeproxy.membership.lease import Leases, Token, Vote, VoteKind
 from grebeproxy.membership.model import Address, View
@@ -20,13 +21,18 @@
 
 MEMBER, VOTE, DIGEST, DELTA = 1, 2, 3, 4
 MAX_ENTRIES = 64
+MAX_NAME_BYTES = 64
+
+
+class PayloadError(GrebeproxyError, ValueError):
+    """A payload that carries the key but whose fields make no sense; the node counts it as rejected."""
 
 
 # --- events
 
 
 @dataclass(frozen=True, slots=True)
-class Came:
+class PayloadReceived:
     """The payload of a datagram."""
 
     payload: Any
@@ -50,7 +56,7 @@
     token: Token
 
 
-Event = Union[Came, Tick, Ending, Declined]
+Event = Union[PayloadReceived, Tick, Ending, Declined]
 
 
 # --- effects
@@ -108,7 +114,7 @@
         self.leases = Leases(member.name, instance, member.fleet, config.lease, rng, now)
         self.store = Store(member.name, limits or Limits(), rng, now)
         self.ended = False
-        self.refused = 0  # payloads that could not be read
+        self.rejected = 0  # payloads that could not be read
         self._effects: list[Effect] = []
         self._wakes = {"members": now, "leases": now, "store": now}
         self._wake_at: float | None = None
@@ -129,7 +135,7 @@
             if self.ended:
                 break
             match event:
-                case Came(payload):
+                case PayloadReceived(payload):
                     self._on_payload(now, payload)
                 case Tick():
                     self._wake_at = None
@@ -140,15 +146,19 @@
                 case Declined(duty, token):
                     self._step_leases(now, lease.TokenRejected(duty, token))
         if not self.ended:
-            for part, due in list(self._wakes.items()):
-                if now >= due:
-                    self._wake(now, part)
-            at = min(self._wakes.values())
-            if self._wake_at is None or at < self._wake_at:
-                self._wake_at = at
-                self._effects.append(Wake(at))
+            self._wake_due_parts(now)
         return self._effects
 
+    def _wake_due_parts(self, now: float) -> None:
+        """Wake each part whose time has come, and ask for a ``Wake`` where the earliest one moved up."""
+        for part, due in list(self._wakes.items()):
+            if now >= due:
+                self._wake(now, part)
+        at = min(self._wakes.values())
+        if self._wake_at is None or at < self._wake_at:
+            self._wake_at = at
+            self._effects.append(Wake(at))
+
     def begin(self, now: float) -> list[Effect]:
         """The first effects."""
         self._step_leases(now, *(lease.LeaseWanted(duty.name) for duty in self.config.duties))
@@ -183,9 +193,9 @@
                 if rest[0] in self.view.members:
                     self._step_store(now, MessageReceived(rest[0], message))
             else:
-                self.refused += 1
+                self.rejected += 1
         except (wire.WireError, IndexError, KeyError, TypeError, ValueError):
-            self.refused += 1
+            self.rejected += 1
 
     def _knows(self, name: Any, instance: Any) -> bool:
         """Guards the votes against a process that is not, or not any longer, the one of its name."""
@@ -263,35 +273,35 @@
 def _pack(name: str, message: Digest | Delta) -> list[object]:
     if isinstance(message, Digest):
         versions = [[origin, *version] for origin, version in message.versions]
-        return [DIGEST, name, versions, message.whole, message.asks]
+        return [DIGEST, name, versions, message.complete, message.requests_newer]
     fields = [list(entry) for entry in message.entries]
-    return [DELTA, name, message.origin, *message.life, message.base, message.top, message.age, fields]
+    return [DELTA, name, message.origin, *message.incarnation, message.base, message.top, message.age, fields]
 
 
 def _unpack_digest(fields: list[Any]) -> Digest:
-    versions, whole, asks = fields[:3]
+    versions, complete, requests_newer = fields[:3]
     if len(versions) > MAX_ENTRIES:
-        raise ValueError("too many origins")
+        raise PayloadError("too many origins")
     return Digest(
         tuple(
-            (_text(origin), (_count(generation), _count(life), _count(top)))
-            for origin, generation, life, top in versions
+            (_text(origin), (_count(generation), _count(incarnation), _count(top)))
+            for origin, generation, incarnation, top in versions
         ),
-        whole is True,
-        asks is True,
+        complete is True,
+        requests_newer is True,
     )
 
 
 def _unpack_delta(fields: list[Any]) -> Delta:
-    origin, generation, life, base, top, age, entries = fields[:7]
+    origin, generation, incarnation, base, top, age, entries = fields[:7]
     if len(entries) > MAX_ENTRIES or not isinstance(age, int | float) or not age >= 0.0:
-        raise ValueError("not a delta")
+        raise PayloadError("not a delta")
     for _, _, value in entries:
         if value is not None and not isinstance(value, bytes):
-            raise ValueError("not a value")
+            raise PayloadError("not a value")
     return Delta(
         _text(origin),
-        (_count(generation), _count(life)),
+        (_count(generation), _count(incarnation)),
         _count(base),
         _count(top),
         float(age),
@@ -300,12 +310,12 @@
 
 
 def _text(value: Any) -> str:
-    if not isinstance(value, str) or len(value.encode()) > 64:
-        raise ValueError("not a name")
+    if not isinstance(value, str) or len(value.encode()) > MAX_NAME_BYTES:
+        raise PayloadError("not a name")
     return value
 
 
 def _count(value: Any) -> int:
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        raise ValueError("not a number")
+        raise PayloadError("not a number")
     return int(value)
--- a/grebeproxy/peers/edge.py
+++ b/grebeproxy/peers/runtime.py
@@ -15,6 +15,7 @@
 
 import structlog
 
+from grebeproxy.errors import GrebeproxyError
 from grebeproxy.membership.lease import Token
 from grebeproxy.membership.wire import Sealed, WireError
 from grebeproxy.peers import node
@@ -22,6 +23,14 @@
 
 LINES_A_SECOND = 20  # of the log, beyond which they are counted and left out
 DUTY_WITHIN = 2.0  # seconds for one report
+MAX_BALLOT_DIGITS = 16
+
+
+class DutyAnswerError(GrebeproxyError, OSError):
+    """The place where a duty takes effect answered with a line that is neither ``ACK`` nor ``NAK``.
+
+    Derives from ``OSError`` as well, so that it is logged as ``duty not reported`` like a lost connection.
+    """
 
 
 class Log:
@@ -58,7 +67,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._duties: dict[str, asyncio.Task[None]] = {}
-        self._refused: dict[str, int] = {}
+        self._rejected: dict[str, int] = {}
 
     def now(self) -> float:
         """The clock that all goes by."""
@@ -88,11 +97,11 @@
             payload = self._sealed.open(data)
         except WireError as error:
             reason = str(error)
-            self._refused[reason] = count = self._refused.get(reason, 0) + 1
+            self._rejected[reason] = count = self._rejected.get(reason, 0) + 1
             if count & (count - 1) == 0:  # 1, 2, 4, 8 …: bounded, however many come
                 self._log.line("packet not taken", reason=reason, count=count)
             return
-        self._carry_out(self.node.step(self.now(), [node.Came(payload)]))
+        self._carry_out(self.node.step(self.now(), [node.PayloadReceived(payload)]))
 
     def error_received(self, exc: Exception) -> None:
         """A member's machine reports that nobody listens: its probe shows as much."""
@@ -144,7 +153,11 @@
 
 
 async def report(duty: Duty, token: Token) -> Token | None:
-    """Do a duty once. Gives the higher token where it was refused. Raises ``OSError`` for other answers."""
+    """Do a duty once over a connection of its own; ``None`` where it was acknowledged.
+
+    Gives the higher ``(ballot, lease holder)`` token where it was rejected. Raises ``OSError`` where the
+    connection fails and ``DutyAnswerError`` for any other answer.
+    """
     reader, writer = await asyncio.open_connection(*duty.report)
     try:
         writer.write(f"do {duty.name} {token[0]} {token[1]}\n".encode())
@@ -154,6 +167,6 @@
     match line.decode("utf-8", "replace").split():
         case ["ACK", *_]:
             return None
-        case ["NAK", ballot, holder] if ballot.isdecimal() and len(ballot) <= 16:
-            return int(ballot), holder
-    raise OSError(f"not an answer: {line[:40]!r}")
+        case ["NAK", ballot, lease_holder] if ballot.isdecimal() and len(ballot) <= MAX_BALLOT_DIGITS:
+            return int(ballot), lease_holder
+    raise DutyAnswerError(f"not an answer: {line[:40]!r}")
