--- a/grebeproxy/net/lingering.py
+++ b/grebeproxy/net/closing.py
@@ -7,13 +7,13 @@
 
 from grebeproxy.net.timers import Cancellable, LoopTimers
 
-LINGER_TIMEOUT = 0.5  # seconds in which the peer may read what it was sent, and end its side
-MAX_LINGERING = 16  # lingering connections, beyond which the oldest is cut
+CLOSE_TIMEOUT = 0.5  # seconds in which the peer may read what it was sent, and end its side
+MAX_CLOSING = 16  # closing connections, beyond which the oldest is cut
 EXIT_GRACE = 2.0  # seconds from the program's end in which what is unsent may still be read
 POLL_INTERVAL = 0.005  # seconds between looks at whether all have ended, or have sent all
 
 
-class Lingering(Protocol):
+class ClosingConnection(Protocol):
     """A connection that may take some time to end."""
 
     def unsent_bytes(self) -> int:
@@ -23,29 +23,29 @@
         """End at once, also what is written and not sent."""
 
 
-class LingeringConnections:
-    """Bounds lingering connections in time and number."""
+class ClosingConnections:
+    """Bounds closing connections in time and number."""
 
     def __init__(self, timers: LoopTimers) -> None:
         self._timers = timers
         self._exit_deadline: float | None = None  # the program ends, and no connection outlasts this
-        self._connections: dict[Lingering, Cancellable] = {}  # the oldest first
+        self._connections: dict[ClosingConnection, Cancellable] = {}  # the oldest first
 
     def __len__(self) -> int:
         """How many there are."""
         return len(self._connections)
 
-    def add(self, connection: Lingering) -> None:
-        """The router has ended it: it is cut where its peer does not end it soon, or too many linger."""
-        if self._exit_deadline is None and len(self._connections) >= MAX_LINGERING:
+    def add(self, connection: ClosingConnection) -> None:
+        """The router has ended it: it is cut where its peer does not end it soon, or too many are closing."""
+        if self._exit_deadline is None and len(self._connections) >= MAX_CLOSING:
             self.cut(next(iter(self._connections)))
         if connection not in self._connections:
-            self._cut_later(connection, LINGER_TIMEOUT)
+            self._cut_later(connection, CLOSE_TIMEOUT)
 
-    def _cut_later(self, connection: Lingering, delay: float) -> None:
+    def _cut_later(self, connection: ClosingConnection, delay: float) -> None:
         self._connections[connection] = self._timers.call_later(delay, lambda: self._time_out(connection))
 
-    def _time_out(self, connection: Lingering) -> None:
+    def _time_out(self, connection: ClosingConnection) -> None:
         """Its time is over; while the program ends, what is unsent gets some more."""
         deadline = self._exit_deadline
         if deadline is not None and self._timers.now() < deadline and connection.unsent_bytes():
@@ -53,12 +53,12 @@
         else:
             self.cut(connection)
 
-    def cut(self, connection: Lingering) -> None:
+    def cut(self, connection: ClosingConnection) -> None:
         """End one at once."""
         self.discard(connection)
         connection.abort()
 
-    def discard(self, connection: Lingering) -> None:
+    def discard(self, connection: ClosingConnection) -> None:
         """One has ended by itself."""
         if (timer := self._connections.pop(connection, None)) is not None:
             timer.cancel()
@@ -69,7 +69,7 @@
             self.cut(connection)
 
     def begin_exit(self) -> None:
-        """The program ends: any number may linger, and those with unsent bytes for longer."""
+        """The program ends: any number may be closing, and those with unsent bytes for longer."""
         self._exit_deadline = self._timers.now() + EXIT_GRACE
 
     async def wait_until_ended(self) -> None:
--- a/grebeproxy/net/connections/base.py
+++ b/grebeproxy/net/connections/base.py
@@ -7,10 +7,10 @@
 from typing import Protocol, cast
 
 from grebeproxy.net import events
-from grebeproxy.net.lingering import LingeringConnections
+from grebeproxy.net.closing import ClosingConnections
 from grebeproxy.net.messages import BadFrameError
 
-MAX_DISCARDED = 256 * 1024  # bytes read and dropped of a lingering connection, beyond which it is cut
+MAX_DISCARDED = 256 * 1024  # bytes read and dropped of a closing connection, beyond which it is cut
 
 
 class Decoder(Protocol):
@@ -28,7 +28,7 @@
     """What a connection needs of the router that it belongs to."""
 
     @property
-    def lingering(self) -> LingeringConnections:
+    def closing(self) -> ClosingConnections:
         """The connections that the router has ended and whose peers have not."""
 
     def feed(self, *reported: events.Event) -> None:
@@ -83,7 +83,7 @@
     def _discard(self, data: bytes) -> None:
         self._discarded += len(data)
         if self._discarded > MAX_DISCARDED:
-            self.host.lingering.cut(self)
+            self.host.closing.cut(self)
 
     def eof_received(self) -> bool:
         """Report the end at once: the transport would first send what is written, and none may read it."""
@@ -92,7 +92,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report the end."""
-        self.host.lingering.discard(self)
+        self.host.closing.discard(self)
         self.end(str(exc or "closed"))
 
     def end(self, reason: str) -> None:
@@ -127,7 +127,7 @@
         self.ended = True
         if self.transport is not None and not self.transport.is_closing():
             self.half_close()
-            self.host.lingering.add(self)
+            self.host.closing.add(self)
 
     def half_close(self) -> None:
         """Send the end of the stream behind what is written, and read on: what crosses must not reset it."""
--- a/grebeproxy/net/connections/client.py
+++ b/grebeproxy/net/connections/client.py
@@ -82,7 +82,7 @@
         transport.write(data)
         if self._holds_too_much():
             self.end("the client does not read its answers")
-            self.host.lingering.cut(self)
+            self.host.closing.cut(self)
 
     def _holds_too_much(self) -> bool:
         unsent, allowed = self.unsent_bytes(), self._bounds.unsent
@@ -98,6 +98,6 @@
         """Close without a report; one that knew of the end before has had its time."""
         if self.half_closed:
             self.ended = True
-            self.host.lingering.cut(self)
+            self.host.closing.cut(self)
         else:
             self.finish()
--- a/grebeproxy/net/runtime.py
+++ b/grebeproxy/net/runtime.py
@@ -24,7 +24,7 @@
 from grebeproxy.net.dialer import Dialer
 from grebeproxy.net.effects import carry_out
 from grebeproxy.net.override_file import OverrideFile
-from grebeproxy.net.lingering import LingeringConnections
+from grebeproxy.net.closing import ClosingConnections
 from grebeproxy.net.listener import Listener, adopt, bind
 from grebeproxy.net.log_limit import RateLimitedLog
 from grebeproxy.net.override_sync import OverrideSync
@@ -59,7 +59,7 @@
         self.admins: dict[int, AdminConnection] = {}
         self._change_log: ChangeLogConnection | None = None
         self._numbers = count(1)
-        self.lingering = LingeringConnections(self.timers)
+        self.closing = ClosingConnections(self.timers)
         self.dialer = Dialer(self.report_shortage)
         self._limited_log = RateLimitedLog(self.log, self.timers.now)
         self._overrides = self._override_sync()
@@ -99,9 +99,9 @@
         self._limited_log.write(text)
 
     def report_shortage(self, text: str) -> None:
-        """This machine lacks something: lingering connections give up what they hold at once."""
+        """This machine lacks something: closing connections give up what they hold at once."""
         self.log_limited(text)
-        self.lingering.cut_all()
+        self.closing.cut_all()
 
     # --- life
 
@@ -123,7 +123,7 @@
         if self._listen_error is not None:
             raise self._listen_error
         self._finish_connections()
-        await self.lingering.wait_until_ended()
+        await self.closing.wait_until_ended()
 
     def _finish_connections(self) -> None:
         """Close all behind what is written; from now on the router's own time-outs end none of them."""
@@ -166,7 +166,7 @@
     def exit(self) -> None:
         """End the program."""
         self._done.set()
-        self.lingering.begin_exit()
+        self.closing.begin_exit()
 
     # --- events
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -132,21 +132,21 @@
     for client in (sends, stays):
         client.sendall(b"\xc1")
     stage.run(0.02)
-    assert stage.runtime.lingering and not stage.runtime.clients
+    assert stage.runtime.closing and not stage.runtime.clients
     with pytest.raises(ConnectionError):
         for _ in range(200):
             sends.sendall(b"x" * 65536)
             stage.run(0.005)
-    assert len(stage.runtime.lingering) == 1
+    assert len(stage.runtime.closing) == 1
     stage.run(0.6)
-    assert not stage.runtime.lingering
+    assert not stage.runtime.closing
 
 
 def test_those_closed_on_and_not_ended_are_few(stage: Stage) -> None:
     for _ in range(60):
         stage.client().sendall(b"\xc1")
     stage.run(0.1)
-    assert len(stage.runtime.lingering) == 16 and not stage.runtime.clients
+    assert len(stage.runtime.closing) == 16 and not stage.runtime.clients
 
 
 def test_a_caller_that_says_more_than_a_call_reads_its_answer() -> None:
