--- a/grebeproxy/net/msgpack_rpc.py
+++ b/grebeproxy/net/msgpack_rpc.py
@@ -5,7 +5,7 @@
 import math
 import re
 from collections.abc import Callable, Iterator
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgpack
 
@@ -28,6 +28,8 @@
 REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2
 MAX_BYTES, MAX_ITEMS = 64 * 1024, 64  # of one message: a statement and a few fields
 TOPS = (0x93, 0x94)  # an array of three or four
+# First bytes of msgpack's formats that hold their size in the first byte itself.
+FIXMAP, FIXARRAY, FIXSTR, FIRST_SIZED, NEGATIVE_FIXINT = 0x80, 0x90, 0xA0, 0xC0, 0xE0
 # From 0xc0 on: bytes of the header or of all, how many of them hold a length, and values for each counted.
 HEADERS = (
     (1, 0, 0),
@@ -99,7 +101,7 @@
 
     @property
     def partial(self) -> int:
-        """Bytes of a message that has begun and is not whole yet."""
+        """Bytes of a message that has begun and is not complete yet."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[FromClient]:
@@ -107,16 +109,16 @@
         self._buffer += data
         start = 0  # of the message that is read; what is before it goes at the end, once
         try:
-            while self._whole(start):
-                whole = bytes(self._buffer[start : start + self._at])
+            while self._message_complete(start):
+                complete = bytes(self._buffer[start : start + self._at])
                 start, self._at, self._left, self._items = start + self._at, 0, 1, 0
-                yield self._message(msgpack.unpackb(whole))
+                yield self._message(msgpack.unpackb(complete))
         except (ValueError, msgpack.UnpackException, TypeError) as error:
             raise BadFrameError(f"client: {str(error) or type(error).__name__}") from None
         del self._buffer[:start]
 
-    def _whole(self, start: int) -> bool:
-        """Walk on over the headers; returns whether a message is there whole."""
+    def _message_complete(self, start: int) -> bool:
+        """Walk on over the headers; returns whether a message is there complete."""
         buffer = self._buffer
         while self._left:
             at = start + self._at
@@ -125,16 +127,10 @@
             first = buffer[at]
             if not self._at and first not in TOPS:
                 raise ValueError("not a request or a notification")
-            if first < 0x80 or first >= 0xE0:
-                size, inner = 1, 0
-            elif first < 0x90:
-                size, inner = 1, 2 * (first & 0x0F)
-            elif first < 0xA0:
-                size, inner = 1, first & 0x0F
-            elif first < 0xC0:
-                size, inner = 1 + (first & 0x1F), 0
+            if first < FIRST_SIZED or first >= NEGATIVE_FIXINT:
+                size, inner = _fixed_format(first)
             else:
-                fixed, width, counted = HEADERS[first - 0xC0]
+                fixed, width, counted = HEADERS[first - FIRST_SIZED]
                 if not fixed:
                     raise ValueError(f"type {first:#x} has no place in a message")
                 if at + fixed > len(buffer):
@@ -201,6 +197,24 @@
         return _optional(fields, "unique", TOKEN.fullmatch)
 
 
+class _Format(NamedTuple):
+    """Bytes that a value takes up (of a map or array: its header), and how many values it holds."""
+
+    size: int
+    inner: int
+
+
+def _fixed_format(first: int) -> _Format:
+    """The format of a value whose first byte holds its size: a fixint, fixmap, fixarray or fixstr."""
+    if first < FIXMAP or first >= NEGATIVE_FIXINT:
+        return _Format(1, 0)
+    if first < FIXARRAY:
+        return _Format(1, 2 * (first & 0x0F))
+    if first < FIXSTR:
+        return _Format(1, first & 0x0F)
+    return _Format(1 + (first & 0x1F), 0)
+
+
 class _FieldError(Exception):
     """A field that is missing or cannot be used."""
 
