--- a/grebeproxy/lab/capacity/measure/engine_list.py
+++ b/grebeproxy/lab/capacity/measure/engine_list.py
@@ -9,7 +9,7 @@
 from grebeproxy.lab.capacity.measure.workload import list_frame, profile, settings
 from grebeproxy.lab.record import Point
 from grebeproxy.net import admission
-from grebeproxy.net.changelog import CHANGES, HEAD, WHOLE, Decoder
+from grebeproxy.net.changelog import CHANGES, FULL, HEAD, Decoder
 from grebeproxy.net.events import ChangeLogOpened, ChangeLogReceived
 from grebeproxy.net.messages import ChangeLogUpdate
 from grebeproxy.net.router import Router
@@ -38,7 +38,7 @@
 
 def _run(engines: int, seed: int) -> dict[str, float]:
     """Bytes and milliseconds of one full list and of a change of one engine behind it."""
-    whole = list_frame(range(engines), PORT, seq=1, kind=WHOLE)
+    whole = list_frame(range(engines), PORT, seq=1, kind=FULL)
     changes = [
         list_frame(range(number, number + 1), PORT, 2 + at, CHANGES, STARTED_MS + at)
         for at, number in enumerate(_spread(engines))
@@ -71,7 +71,7 @@
 def _memory_bytes(engines: int, seed: int) -> float:
     """What a router keeps of a full list, as the allocator counts it."""
     router, decoder = _router(seed), Decoder(settings(ROUTERS), _seconds)
-    whole = list_frame(range(engines), PORT, seq=1, kind=WHOLE)
+    whole = list_frame(range(engines), PORT, seq=1, kind=FULL)
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
--- a/grebeproxy/lab/capacity/measure/workload.py
+++ b/grebeproxy/lab/capacity/measure/workload.py
@@ -10,7 +10,7 @@
 
 import msgpack
 
-from grebeproxy.net.changelog import HEAD, RECORD, WHOLE
+from grebeproxy.net.changelog import FULL, HEAD, RECORD
 from grebeproxy.policy import interface as api
 from grebeproxy.settings import settings_from
 
@@ -145,7 +145,7 @@
     return {"seq": 1, "results": [{"seq": 1, "fleet": {"snapshot": True, "endpoints": entries}}]}
 
 
-def list_frame(numbers: range, port: int, seq: int, kind: int = WHOLE, started_ms: int = 0) -> bytes:
+def list_frame(numbers: range, port: int, seq: int, kind: int = FULL, started_ms: int = 0) -> bytes:
     """A frame of the change log with one record for each engine."""
     records = b"".join(
         RECORD.pack(
--- a/grebeproxy/lab/scale/changelog_server.py
+++ b/grebeproxy/lab/scale/changelog_server.py
@@ -187,5 +187,5 @@
     def _whole_list(self) -> bytes:
         if self._whole is None:
             records = b"".join(engine.pack() for engine in self._engines.values())
-            self._whole = frame(self._seq, changelog.WHOLE, records)
+            self._whole = frame(self._seq, changelog.FULL, records)
         return self._whole
--- a/grebeproxy/net/changelog.py
+++ b/grebeproxy/net/changelog.py
@@ -14,7 +14,8 @@
 RECORD = struct.Struct(">IIHBBBHIQ")
 AFTER_LENGTH = HEAD.size - 4
 MAX_BYTES = AFTER_LENGTH + 16384 * RECORD.size
-NOTHING, WHOLE, CHANGES = 0, 1, 2
+NOTHING, FULL, CHANGES = 0, 1, 2  # kinds of frame: a heartbeat, the full list, changes to it
+PORT_LIMIT = 65536  # ports are below it, and above 0
 STATES = (EngineState.UP, EngineState.DRAINING, EngineState.GONE)
 STATE_NAMES = {"Ready": EngineState.UP, "Terminating": EngineState.DRAINING, "Gone": EngineState.GONE}
 
@@ -39,7 +40,7 @@
 
     @property
     def partial(self) -> int:
-        """Bytes of a frame that has begun and is not whole yet."""
+        """Bytes of a frame that has begun and is not complete yet."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[ChangeLogUpdate]:
@@ -47,8 +48,8 @@
         self._buffer += data
         while len(self._buffer) >= HEAD.size:
             length, seq, kind = HEAD.unpack_from(self._buffer)
-            whole_records = not (length - AFTER_LENGTH) % RECORD.size
-            if not AFTER_LENGTH <= length <= MAX_BYTES or not whole_records or kind > CHANGES:
+            complete_records = not (length - AFTER_LENGTH) % RECORD.size
+            if not AFTER_LENGTH <= length <= MAX_BYTES or not complete_records or kind > CHANGES:
                 raise BadFrameError(f"change log: a frame of kind {kind} and length {length}")
             if len(self._buffer) < 4 + length:
                 return
@@ -74,7 +75,7 @@
                     weight / 1000,
                 )
             )
-        how = ListKind.FULL if kind == WHOLE else ListKind.CHANGES
+        how = ListKind.FULL if kind == FULL else ListKind.CHANGES
         return ChangeLogUpdate(seq, EngineList(how, tuple(engines), seq), addresses)
 
 
@@ -97,14 +98,14 @@
                     float(entry.get("weight", 1.0)),
                 )
             )
-        whole = fleet.get("snapshot") or not position  # the first event holds the full list
-        how = ListKind.FULL if whole else ListKind.CHANGES
+        full_list = fleet.get("snapshot") or not position  # the first event holds the full list
+        how = ListKind.FULL if full_list else ListKind.CHANGES
         yield ChangeLogUpdate(seq, EngineList(how, tuple(engines), seq), addresses)
 
 
 def host_and_port(address: str) -> tuple[str, int]:
     """Splits ``host:port``. Raises ValueError for anything else."""
     host, _, port = address.rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
+    if not host or not port.isdigit() or not 0 < int(port) < PORT_LIMIT:
         raise ValueError(f"{address!r} is not host:port")
     return host.strip("[]"), int(port)
--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -175,7 +175,7 @@
 def test_frames_are_decoded_by_the_products_codec(cut: int) -> None:
     decoder = changelog.Decoder(settings(8, 3), lambda unix_ms: unix_ms / 1000)
     changed = EngineRecord(2, RECORDS[1].address, DRAINING)
-    data = frame(1, changelog.WHOLE, b"".join(record.pack() for record in RECORDS))
+    data = frame(1, changelog.FULL, b"".join(record.pack() for record in RECORDS))
     data += frame(1, changelog.NOTHING) + frame(2, changelog.CHANGES, changed.pack())
     news = [item for at in range(0, len(data), cut) for item in decoder.feed(data[at : at + cut])]
     whole, nothing, changes = news
--- a/tests/test_subset_processes.py
+++ b/tests/test_subset_processes.py
@@ -26,7 +26,7 @@
 
 from grebeproxy import Choice, Settings
 from grebeproxy.config import parse
-from grebeproxy.net.changelog import CHANGES, HEAD, NOTHING, RECORD, WHOLE
+from grebeproxy.net.changelog import CHANGES, FULL, HEAD, NOTHING, RECORD
 from grebeproxy.policy.interface import Engine, EngineList, EngineState, ListKind
 
 BALANCERS, INDEXES = 200, (0, 67, 121, 199)  # routers in all, and those of them that run here
@@ -139,7 +139,7 @@
     """Tells every router the whole list first, then changes; a sign of life where there are none."""
 
     def __init__(self, engines: list[HollowEngine]) -> None:
-        self.frames = [self.frame(WHOLE, 1, engines)]
+        self.frames = [self.frame(FULL, 1, engines)]
         self.told: list[tuple[float, str, EngineState]] = []
         self.server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task[None]] = set()
@@ -341,7 +341,7 @@
         for engine in self.engines:
             await engine.listen()
         # The engines' ports are known only now, and belong to the first event of the log.
-        self.log.frames[0] = ChangeLog.frame(WHOLE, 1, self.engines)
+        self.log.frames[0] = ChangeLog.frame(FULL, 1, self.engines)
         changelog = await self.log.listen()
         self.routers = [RouterProcess(self.folder, index, changelog, self.engines) for index in INDEXES]
         try:
