--- a/grebeproxy/net/changelog.py
+++ b/grebeproxy/net/changelog.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
+from grebeproxy.errors import GrebeproxyError
 from grebeproxy.net.messages import BadFrameError, ChangeLogUpdate
 from grebeproxy.policy.interface import Engine, EngineList, EngineState, ListKind, Settings
 
@@ -103,9 +104,13 @@
         yield ChangeLogUpdate(seq, EngineList(how, tuple(engines), seq), addresses)
 
 
+class AddressError(GrebeproxyError, ValueError):
+    """An address that is not ``host:port`` with a port from 1 to 65535; a ValueError, as callers catch."""
+
+
 def host_and_port(address: str) -> tuple[str, int]:
-    """Splits ``host:port``. Raises ValueError for anything else."""
+    """Splits ``host:port`` into the host, without brackets, and the port. Raises AddressError otherwise."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < PORT_LIMIT:
-        raise ValueError(f"{address!r} is not host:port")
+        raise AddressError(f"{address!r} is not host:port")
     return host.strip("[]"), int(port)
--- a/grebeproxy/net/msgpack_rpc.py
+++ b/grebeproxy/net/msgpack_rpc.py
@@ -9,6 +9,7 @@
 
 import msgpack
 
+from grebeproxy.errors import GrebeproxyError
 from grebeproxy.net.messages import (
     BadFrameError,
     Call,
@@ -126,20 +127,20 @@
                 return False
             first = buffer[at]
             if not self._at and first not in TOPS:
-                raise ValueError("not a request or a notification")
+                raise MalformedMessageError("not a request or a notification")
             if first < FIRST_SIZED or first >= NEGATIVE_FIXINT:
                 size, inner = _fixed_format(first)
             else:
                 fixed, width, counted = HEADERS[first - FIRST_SIZED]
                 if not fixed:
-                    raise ValueError(f"type {first:#x} has no place in a message")
+                    raise MalformedMessageError(f"type {first:#x} has no place in a message")
                 if at + fixed > len(buffer):
                     return False
                 length = int.from_bytes(buffer[at + 1 : at + 1 + width], "big")
                 size, inner = (fixed, counted * length) if counted else (fixed + length, 0)
             self._items += inner
             if self._at + size > MAX_BYTES or self._items > MAX_ITEMS:
-                raise ValueError("a message that is too long")
+                raise MalformedMessageError("a message that is too long")
             if at + size > len(buffer):
                 return False
             self._at += size
@@ -149,7 +150,7 @@
     def _message(self, message: object) -> FromClient:
         match message:
             case [int(), int(msg), *_] if not 0 <= msg <= MAX_ID:
-                raise ValueError("a message id that cannot be")
+                raise MalformedMessageError("a message id that cannot be")
             case [int(kind), str("giveUp"), [int(msg)]] if kind == NOTIFICATION:
                 return GiveUp(msg)
             case [int(kind), int(msg), str("probe"), list()] if kind == REQUEST:
@@ -160,7 +161,7 @@
                 return Invalid(msg, "params")
             case [int(kind), int(msg), *_] if kind == REQUEST:
                 return Invalid(msg, "method")
-        raise ValueError("not a request or a notification")
+        raise MalformedMessageError("not a request or a notification")
 
     def _call(self, msg: int, cls: str, fields: dict[Any, Any], body: bytes) -> FromClient:
         try:
@@ -197,6 +198,10 @@
         return _optional(fields, "unique", TOKEN.fullmatch)
 
 
+class MalformedMessageError(GrebeproxyError, ValueError):
+    """Bytes that are not a msgpack-rpc request or notification; the decoder reports it as BadFrameError."""
+
+
 class _Format(NamedTuple):
     """Bytes that a value takes up (of a map or array: its header), and how many values it holds."""
 
