--- a/grebeproxy/net/effects.py
+++ b/grebeproxy/net/effects.py
@@ -51,20 +51,27 @@
                 _on_engine(target, effect)
             case events.AnswerAdmin() | events.CloseAdmin():
                 _on_admin(target, effect)
-            case events.OpenChangeLog():
-                target.open_change_log(effect)
-            case events.SaveOverrides(calls):
-                target.save_overrides(calls)
-            case events.Wake(at):
-                target.wake_at(at)
-            case events.LogLine(text):
-                target.log(text)
-            case events.StartListening():
-                target.start_listening()
-            case events.StopListening():
-                target.stop_listening()
-            case events.Exit():
-                target.exit()
+            case _:
+                _on_process(target, effect)
+
+
+def _on_process(target: EffectTarget, effect: events.Effect) -> None:
+    """Effects on the process as a whole: the change log, overrides, the clock, the log and listening."""
+    match effect:
+        case events.OpenChangeLog():
+            target.open_change_log(effect)
+        case events.SaveOverrides(calls):
+            target.save_overrides(calls)
+        case events.Wake(at):
+            target.wake_at(at)
+        case events.LogLine(text):
+            target.log(text)
+        case events.StartListening():
+            target.start_listening()
+        case events.StopListening():
+            target.stop_listening()
+        case events.Exit():
+            target.exit()
 
 
 def _on_client(
