--- a/grebeproxy/lab/control/fleet.py
+++ b/grebeproxy/lab/control/fleet.py
@@ -30,7 +30,7 @@
 SHORTEST_SLEEP = 0.001  # of a router's timer, as in ``peers.runtime``
 POLL_SECONDS = 0.05  # between two looks at whether a condition holds
 KEY_NAME = "share"  # of the key that each router publishes
-REPLICA_OFF = Limits(every=1e9)  # one digest at the start, and none after
+REPLICA_OFF = Limits(exchange_interval=1e9)  # one digest at the start, and none after
 
 
 class NotReachedError(Exception):
@@ -110,7 +110,7 @@
         """Start processes that know only the seeds; one that runs already ends without a word."""
         for router in routers:
             process = self._create(router)
-            self._carry_out(process, process.node.begin(self.now))
+            self._carry_out(process, process.node.start(self.now))
 
     def start_acquainted(self) -> None:
         """Start all routers as if they had run for long: each knows all others, and votes count at once."""
@@ -128,7 +128,7 @@
         stores = [process.node.store for process in self.processes.values()]
         for store in stores:
             age = self._rng.uniform(0.0, store.limits.ttl / 4)
-            store.put(self.now - age, KEY_NAME, self._rng.randbytes(self.key_bytes))
+            store.publish(self.now - age, KEY_NAME, self._rng.randbytes(self.key_bytes))
         originals = [(store.name, store.records[store.name]) for store in stores]
         for store in stores:
             copies = {origin: copy_of(record) for origin, record in originals if origin != store.name}
@@ -138,7 +138,7 @@
         """Have routers ask for the lease of their duties."""
         for router in routers:
             process = self.processes[router]
-            self._carry_out(process, process.node.begin(self.now))
+            self._carry_out(process, process.node.start(self.now))
 
     def kill(self, *routers: int) -> None:
         """End processes without a word to the others."""
@@ -148,7 +148,7 @@
     def stop(self, router: int) -> None:
         """End a process in order: it gives back its lease and says that it leaves."""
         process = self.processes[router]
-        self._carry_out(process, process.node.step(self.now, [node.Ending()]))
+        self._carry_out(process, process.node.step(self.now, [node.ShutdownRequested()]))
         del self.processes[router]
 
     def _create(self, router: int) -> Process:
@@ -222,11 +222,11 @@
                 case node.Wake(at):
                     process.wake_at = max(at, self.now + SHORTEST_SLEEP)
                     heappush(self._queue, (process.wake_at, next(self._order), process.router, process, b""))
-                case node.Begin():
+                case node.StartDuty():
                     self.lease_events.append(LeaseEvent(self.now, process.router, held=True))
-                case node.Stop():
+                case node.StopDuty():
                     self.lease_events.append(LeaseEvent(self.now, process.router, held=False))
-                case node.Line("member", (("what", "failed"), ("name", str(failed)))):
+                case node.LogEvent("peers.member.failed", (("name", str(failed)),)):
                     self.failure_reports.append(FailureReport(self.now, process.router, failed))
 
     def _send(self, process: Process, to: Address, payload: list[object]) -> None:
@@ -298,7 +298,7 @@
 
 def copy_of(record: Record) -> Record:
     """A record with entries of its own."""
-    return Record(record.incarnation, record.top, record.at, dict(record.entries))
+    return record.copy()
 
 
 def _traffic_of(effects: Iterable[node.Effect]) -> Traffic:
--- a/grebeproxy/lab/control/replica.py
+++ b/grebeproxy/lab/control/replica.py
@@ -58,7 +58,7 @@
 def _change_values(fleet: Fleet) -> dict[str, float]:
     """Change router 0's key; without a time where some router has not got it in ``MOST_SECONDS``."""
     value = b"\xff" * KEY_BYTES
-    fleet.processes[0].node.store.put(fleet.now, KEY_NAME, value)
+    fleet.processes[0].node.store.publish(fleet.now, KEY_NAME, value)
 
     def reached() -> float:
         stores = [process.node.store for process in fleet.processes.values()]
--- a/grebeproxy/lab/scale/member.py
+++ b/grebeproxy/lab/scale/member.py
@@ -13,7 +13,7 @@
 from grebeproxy.membership.lease import Token
 from grebeproxy.membership.wire import Sealed, WireError
 from grebeproxy.peers import Node, PeersConfig, node
-from grebeproxy.peers.runtime import DUTY_WITHIN, report
+from grebeproxy.peers.duty_client import REPORT_TIMEOUT, report
 from grebeproxy.peers.operator_file import Duty
 
 SHORTEST_DELAY_S = 0.001  # as in the product's edge
@@ -48,7 +48,7 @@
     def start(self) -> None:
         """Join."""
         with self._meter:
-            self._carry_out(self.node.begin(self._clock.now()))
+            self._carry_out(self.node.start(self._clock.now()))
 
     def close(self) -> None:
         """End without a word, as a process that is killed."""
@@ -81,12 +81,11 @@
                     self._send(to, payload)
                 case node.Wake(at):
                     self._wake(at)
-                case node.Line("member", fields):
-                    change = dict(fields)
-                    self.changes[str(change["name"])] = (time.monotonic(), str(change["what"]))
-                case node.Begin(name):
+                case node.LogEvent(event, (("name", str(member)),)) if event.startswith("peers.member."):
+                    self.changes[member] = (time.monotonic(), event.removeprefix("peers.member."))
+                case node.StartDuty(name):
                     self._begin(name)
-                case node.Stop(name):
+                case node.StopDuty(name):
                     self._stop(name)
 
     def _send(self, to: tuple[str, int], payload: object) -> None:
@@ -122,18 +121,18 @@
     async def _do(self, duty: Duty) -> None:
         while (token := self.node.token(duty.name, self._clock.now())) is not None:
             try:
-                higher = await asyncio.wait_for(report(duty, token), DUTY_WITHIN)
+                higher = await asyncio.wait_for(report(duty, token), REPORT_TIMEOUT)
             except (TimeoutError, OSError):
                 higher = None
             else:
                 self.duties_done += 1
             if higher is not None:
                 asyncio.get_running_loop().call_soon(self._declined, duty.name, higher)
-            await asyncio.sleep(duty.every)
+            await asyncio.sleep(duty.interval)
 
     def _declined(self, duty: str, token: Token) -> None:
         with self._meter:
-            self._carry_out(self.node.step(self._clock.now(), [node.Declined(duty, token)]))
+            self._carry_out(self.node.step(self._clock.now(), [node.DutyRejected(duty, token)]))
 
 
 def bound_socket(address: tuple[str, int]) -> socket.socket:
--- a/grebeproxy/lab/scale/real_routers.py
+++ b/grebeproxy/lab/scale/real_routers.py
@@ -156,7 +156,7 @@
 
     def _view(self, router: RealRouter) -> tuple[str, int, str]:
         lines = (self._home(router) / "out").read_text().splitlines()
-        seen = [line for line in map(orjson.loads, lines) if line["event"] == "view"]
+        seen = [line for line in map(orjson.loads, lines) if line["event"] == "peers.view.changed"]
         if not seen:
             return "", 0, "none"
         return seen[-1]["members"], seen[-1]["count"], seen[-1]["condition"]
--- /dev/null
+++ b/grebeproxy/peers/duty_leases.py
@@ -0,0 +1,61 @@
+"""The leases of the configured duties: votes become payloads, and outcomes start and stop duties."""
+
+from __future__ import annotations
+
+from random import Random
+
+from grebeproxy import membership
+from grebeproxy.membership import lease
+from grebeproxy.membership.lease import Leases
+from grebeproxy.peers.interface import Datagram, Effect, StartDuty, StopDuty, log_event
+from grebeproxy.peers.operator_file import PeersConfig
+from grebeproxy.peers.payloads import pack_vote
+
+LONG_SLEEP = 3600.0  # seconds until a part is woken that has not asked for a time
+
+
+class DutyLeases:
+    """One router's votes, and its claims on the leases of all configured duties."""
+
+    def __init__(
+        self, config: PeersConfig, instance: int, members: membership.Membership, rng: Random, now: float
+    ) -> None:
+        member = config.member
+        self.leases = Leases(member.name, instance, member.fleet, config.lease, rng, now)
+        self.wake_at = now
+        self._name = member.name
+        self._instance = instance
+        self._members = members
+        self._duties = tuple(duty.name for duty in config.duties)
+
+    def claim_all(self, now: float) -> list[Effect]:
+        """Ask for the leases of all duties."""
+        return self.step(now, *(lease.LeaseWanted(duty) for duty in self._duties))
+
+    def release_all(self, now: float) -> list[Effect]:
+        """Give the leases back, and ask for them no longer."""
+        return self.step(now, *(lease.LeaseWanted(duty, False) for duty in self._duties))
+
+    def wake(self, now: float) -> list[Effect]:
+        """Let time-outs pass."""
+        self.wake_at = now + LONG_SLEEP
+        return self.step(now, lease.Woken())
+
+    def step(self, now: float, *events: lease.Event) -> list[Effect]:
+        """Pass events to the lease core; gives what the node is to carry out."""
+        effects: list[Effect] = []
+        for effect in self.leases.step(now, events):
+            match effect:
+                case lease.SendVote(to, vote):
+                    if (fact := self._members.facts.get(to)) is not None:
+                        payload = pack_vote(self._name, self._instance, vote)
+                        effects.append(Datagram(fact.address, payload))
+                case lease.LeaseAcquired(name, token):
+                    effects.append(log_event("peers.lease.acquired", lease=name, ballot=token[0]))
+                    effects.append(StartDuty(name))
+                case lease.LeaseLost(name):
+                    effects.append(log_event("peers.lease.lost", lease=name))
+                    effects.append(StopDuty(name))
+                case membership.Wake(at):
+                    self.wake_at = at
+        return effects
--- /dev/null
+++ b/grebeproxy/peers/event_log.py
@@ -0,0 +1,37 @@
+"""The structured log of what routers share: one JSON object a line, bounded in rate."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import structlog
+
+MAX_EVENTS_PER_SECOND = 20
+
+
+class EventLog:
+    """Writes at most ``MAX_EVENTS_PER_SECOND``; the next event after that tells how many were suppressed."""
+
+    def __init__(self, now: Callable[[], float]) -> None:
+        self._log = structlog.wrap_logger(
+            structlog.WriteLogger(), processors=[structlog.processors.JSONRenderer()]
+        )
+        self._now = now
+        self._second = 0
+        self._count = 0  # of events in this second, suppressed ones among them
+        self._suppressed = 0
+
+    def write(self, event: str, /, **fields: object) -> None:
+        """Write an event, unless there were too many in this second."""
+        second = int(self._now())
+        if second != self._second:
+            self._second = second
+            self._count = 0
+        self._count += 1
+        if self._count > MAX_EVENTS_PER_SECOND:
+            self._suppressed += 1
+            return
+        if self._suppressed:
+            fields["suppressed"] = self._suppressed
+            self._suppressed = 0
+        self._log.info(event, **fields)
--- /dev/null
+++ b/grebeproxy/peers/payloads.py
@@ -0,0 +1,150 @@
+"""The codec of payloads: what a datagram's body carries, as the lists that MessagePack writes.
+
+    [MEMBER, message]                                              a message of ``grebeproxy.membership``
+    [VOTE, sender, instance, [kind, lease, ballot, asked]]
+    [DIGEST, sender, [[origin, generation, nonce, top], ...], complete, requests_newer]
+    [DELTA, sender, origin, generation, nonce, base, top, age, [[key, number, value], ...]]
+
+A list may be longer than what is read here: a later version may append fields.
+"""
+
+from __future__ import annotations
+
+from typing import Any, NamedTuple, Union
+
+from grebeproxy.errors import GrebeproxyError
+from grebeproxy.membership import Message, wire
+from grebeproxy.membership.lease import Vote, VoteKind
+from grebeproxy.replica.records import Delta, Digest, Incarnation, KeyChange, OriginVersion, Version
+
+# The kinds of payloads, as they stand on the wire.
+MEMBER = 1
+VOTE = 2
+DIGEST = 3
+DELTA = 4
+
+MAX_ENTRIES = 64  # of one digest or delta
+MAX_TEXT_BYTES = 64  # of a name or a key
+
+Payload = list[object]
+
+
+class PayloadError(GrebeproxyError, ValueError):
+    """A payload that was sealed with the right key but whose fields make no sense."""
+
+
+class MemberMessage(NamedTuple):
+    """A message of the membership protocol, which names its sender itself."""
+
+    message: Message
+
+
+class VoteMessage(NamedTuple):
+    """A message on a lease; ``sender`` and ``instance`` are as received, and may be of any type."""
+
+    sender: str
+    instance: int
+    vote: Vote
+
+
+class ReplicaMessage(NamedTuple):
+    """A message of the replica store; ``sender`` is as received, and may be of any type."""
+
+    sender: str
+    message: Digest | Delta
+
+
+PeerMessage = Union[MemberMessage, VoteMessage, ReplicaMessage]
+
+
+def pack_member(message: Message) -> Payload:
+    """The payload of a membership message."""
+    return [MEMBER, wire.packed(message)]
+
+
+def pack_vote(sender: str, instance: int, vote: Vote) -> Payload:
+    """The payload of a message on a lease."""
+    return [VOTE, sender, instance, [int(vote.kind), vote.lease, vote.ballot, vote.asked]]
+
+
+def pack_replica(sender: str, message: Digest | Delta) -> Payload:
+    """The payload of a message of the replica store."""
+    if isinstance(message, Digest):
+        versions = [[origin, *version] for origin, version in message.versions]
+        return [DIGEST, sender, versions, message.complete, message.requests_newer]
+    changes = [list(change) for change in message.entries]
+    incarnation = message.incarnation
+    return [DELTA, sender, message.origin, *incarnation, message.base, message.top, message.age, changes]
+
+
+def unpack(payload: Any) -> PeerMessage:
+    """The message in a payload. Raises ``PayloadError`` for one that is malformed.
+
+    Who a message says it is from is not checked here: the node compares that with the members it knows.
+    """
+    try:
+        kind, fields = payload[0], payload[1:]
+        if kind == MEMBER:
+            return MemberMessage(wire.unpacked(fields[0]))
+        if kind == VOTE:
+            return VoteMessage(fields[0], fields[1], _unpack_vote(fields[2]))
+        if kind == DIGEST:
+            return ReplicaMessage(fields[0], _unpack_digest(fields[1:]))
+        if kind == DELTA:
+            return ReplicaMessage(fields[0], _unpack_delta(fields[1:]))
+    except (wire.WireError, IndexError, KeyError, TypeError, ValueError) as error:
+        raise PayloadError(f"malformed: {error}") from None
+    raise PayloadError("of an unknown kind")
+
+
+def _unpack_vote(fields: Any) -> Vote:
+    kind, lease, ballot, asked = fields[:4]
+    return Vote(VoteKind(kind), _text(lease), _natural(ballot), _natural(asked))
+
+
+def _unpack_digest(fields: Any) -> Digest:
+    versions, complete, requests_newer = fields[:3]
+    if len(versions) > MAX_ENTRIES:
+        raise PayloadError("too many origins")
+    return Digest(
+        tuple(
+            OriginVersion(_text(origin), Version(_natural(generation), _natural(nonce), _natural(top)))
+            for origin, generation, nonce, top in versions
+        ),
+        complete is True,
+        requests_newer is True,
+    )
+
+
+def _unpack_delta(fields: Any) -> Delta:
+    origin, generation, nonce, base, top, age, changes = fields[:7]
+    if len(changes) > MAX_ENTRIES:
+        raise PayloadError("too many changes")
+    if not isinstance(age, int | float) or not age >= 0.0:  # not a number is refused as well
+        raise PayloadError("not an age")
+    return Delta(
+        _text(origin),
+        Incarnation(_natural(generation), _natural(nonce)),
+        _natural(base),
+        _natural(top),
+        float(age),
+        tuple(KeyChange(_text(key), _natural(number), _value(value)) for key, number, value in changes),
+    )
+
+
+def _text(value: Any) -> str:
+    if not isinstance(value, str) or len(value.encode()) > MAX_TEXT_BYTES:
+        raise PayloadError("not a name")
+    return value
+
+
+def _natural(value: Any) -> int:
+    if isinstance(value, bool) or not isinstance(value, int) or value < 0:
+        raise PayloadError("not a natural number")
+    return int(value)
+
+
+def _value(value: Any) -> bytes | None:
+    if value is not None and not isinstance(value, bytes):
+        raise PayloadError("not a value")
+    return value
--- a/grebeproxy/replica/__init__.py
+++ b/grebeproxy/replica/__init__.py
@@ -1,24 +1,28 @@
-"""What each router publishes, held by all: the newest of each, and nothing of one that is gone.
-I/O-free.
-"""
+"""Replicated records: each router publishes its own, and holds copies of all others. I/O-free."""
 
-from grebeproxy.replica.records import Delta, Digest, Entry, Record
-from grebeproxy.replica.store import (
+from grebeproxy.replica.interface import (
     Changed,
+    Effect,
+    Event,
     Limits,
     Members,
     MessageReceived,
     PublishLimitError,
     Send,
-    Store,
     Woken,
 )
+from grebeproxy.replica.records import Delta, Digest, Entry, Incarnation, KeyChange, Record, Version
+from grebeproxy.replica.store import Store
 
 __all__ = [
     "Changed",
     "Delta",
     "Digest",
+    "Effect",
     "Entry",
+    "Event",
+    "Incarnation",
+    "KeyChange",
     "Limits",
     "Members",
     "MessageReceived",
@@ -26,5 +30,6 @@
     "Record",
     "Send",
     "Store",
+    "Version",
     "Woken",
 ]
--- /dev/null
+++ b/grebeproxy/replica/own_record.py
@@ -0,0 +1,59 @@
+"""The record that this router publishes: the only one that it changes by itself."""
+
+from __future__ import annotations
+
+from grebeproxy.replica.expiry import Tombstones
+from grebeproxy.replica.interface import Limits, PublishLimitError
+from grebeproxy.replica.records import HEARTBEAT_KEY, MAX_COUNTER, Entry, Incarnation, Record
+
+MAX_KEY_BYTES = 64
+HEARTBEATS_PER_TTL = 4  # so that the loss of some messages lets no record expire
+
+
+class OwnRecord:
+    """Publishes under one name, within limits."""
+
+    def __init__(self, name: str, record: Record, limits: Limits, tombstones: Tombstones) -> None:
+        self.name = name
+        self.record = record
+        self._limits = limits
+        self._tombstones = tombstones
+
+    def publish(self, now: float, key: str, value: bytes | None) -> None:
+        """Publish a value, or withdraw the key with ``None``. Raises ``PublishLimitError``."""
+        self._check(key, value)
+        previous = self.record.entries.get(key)
+        previous_value = previous.value if previous is not None else None
+        if previous_value == value:
+            return
+        limits = self._limits
+        # One key is left for the heartbeat.
+        if previous is None and len(self.record.entries) >= limits.keys - 1:
+            raise PublishLimitError(f"{key}: there are {limits.keys} keys at most")
+        self._change(now, key, value)
+        if value is not None and self.record.size() > limits.record:
+            self._change(now, key, previous_value)
+            raise PublishLimitError(f"{key}: all that is published has {limits.record} bytes at most")
+
+    def heartbeat_if_due(self, now: float) -> None:
+        """Refresh the record if nothing has changed for a while."""
+        if now - self.record.changed_at >= self._limits.ttl / HEARTBEATS_PER_TTL:
+            self._change(now, HEARTBEAT_KEY, b"")
+
+    def supersede(self, now: float, other: Incarnation) -> None:
+        """Begin an incarnation above that of another process of this name, which may have ended or not."""
+        generation = min(other.generation, MAX_COUNTER) + 1
+        self.record.incarnation = Incarnation(generation, self.record.incarnation.nonce)
+        self._change(now, HEARTBEAT_KEY, b"")
+
+    def _check(self, key: str, value: bytes | None) -> None:
+        if not key or len(key.encode()) > MAX_KEY_BYTES:
+            raise PublishLimitError(f"key: must have 1 to {MAX_KEY_BYTES} bytes")
+        if value is not None and len(value) > self._limits.value:
+            raise PublishLimitError(f"{key}: a value has {self._limits.value} bytes at most")
+
+    def _change(self, now: float, key: str, value: bytes | None) -> None:
+        self.record.top += 1
+        self.record.changed_at = now
+        self.record.entries[key] = Entry(self.record.top, value)
+        self._tombstones.record(self.name, key, value)
--- a/grebeproxy/replica/records.py
+++ b/grebeproxy/replica/records.py
@@ -1,81 +1,140 @@
-"""What is held of one origin, and how two copies of it become one.
+"""Versioned records: one per origin, with a join that is commutative, associative and idempotent.
 
-An origin counts its changes. A copy holds all changes up to its ``top`` and of each key the latest, so a copy
-with the higher top holds whatever the other does, and copies are told apart by one number. Each process of an
-origin has an ``incarnation``: a copy of a later incarnation replaces one of an earlier one completely.
-Joining is the same in any order and however often it is done.
+An origin numbers its changes. A copy holds the latest entry of every key among all changes up to its ``top``,
+so of two copies of one incarnation the one with the higher ``top`` holds everything the other does, and one
+number tells them apart. Each process of an origin has an incarnation of its own: a copy of a later
+incarnation replaces one of an earlier incarnation completely.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-Entry = tuple[int, bytes | None]  # the change that made it, and the value; ``None`` where it was taken back
-Incarnation = tuple[
-    int, int
-]  # how often the origin had to begin above an earlier process, and a random number
-Version = tuple[int, int, int]  # incarnation and top
+HEARTBEAT_KEY = ""  # the key that an origin changes only to refresh its record
+MAX_COUNTER = 2**53  # highest generation and change number that are taken from others
+ENTRY_OVERHEAD_BYTES = 8  # counted for each entry of a record, beside its key and value
+
+
+class Entry(NamedTuple):
+    """The latest value of one key."""
+
+    number: int  # of the change that made it
+    value: bytes | None  # ``None``: withdrawn (a tombstone)
+
+
+class Incarnation(NamedTuple):
+    """Tells the processes of one origin apart; ordered, the later one is the higher."""
+
+    generation: int  # raised by a process that meets a higher incarnation of its own name
+    nonce: int  # random
+
+
+class Version(NamedTuple):
+    """How far a copy goes; ordered by incarnation, then by the number of the last change."""
+
+    generation: int
+    nonce: int
+    top: int
+
+    @property
+    def incarnation(self) -> Incarnation:
+        """The process of the origin that made the copy's changes."""
+        return Incarnation(self.generation, self.nonce)
+
+
+class OriginVersion(NamedTuple):
+    """How far the copy of one origin goes."""
+
+    origin: str
+    version: Version
+
+
+class KeyChange(NamedTuple):
+    """One change of a key; a value of ``None`` withdraws the key."""
+
+    key: str
+    number: int
+    value: bytes | None
+
+
+FIRST_INCARNATION = Incarnation(0, 0)
+NO_ENTRY = Entry(0, None)
+_BELOW_ANY_ENTRY = Entry(-1, None)
 
 
 @dataclass(slots=True)
 class Record:
-    """One origin's keys. ``at`` is when its latest change was made, on the local clock, as far as known."""
+    """The keys of one origin.
 
-    incarnation: Incarnation = (0, 0)
+    ``changed_at`` is when the change ``top`` was made, in seconds on the local clock, as far as is known.
+    """
+
+    incarnation: Incarnation = FIRST_INCARNATION
     top: int = 0
-    at: float = 0.0
+    changed_at: float = 0.0
     entries: dict[str, Entry] = field(default_factory=dict)
 
     @property
     def version(self) -> Version:
         """How far this copy goes."""
-        return (*self.incarnation, self.top)
+        generation, nonce = self.incarnation
+        return Version(generation, nonce, self.top)
+
+    def copy(self) -> Record:
+        """The same with a dict of entries of its own."""
+        return Record(self.incarnation, self.top, self.changed_at, dict(self.entries))
 
     def size(self) -> int:
-        """Bytes of keys and values."""
-        return sum(len(key.encode()) + len(value or b"") + 8 for key, (_, value) in self.entries.items())
+        """Bytes of keys and values, with ``ENTRY_OVERHEAD_BYTES`` for each entry."""
+        return sum(
+            len(key.encode()) + len(value or b"") + ENTRY_OVERHEAD_BYTES
+            for key, (_, value) in self.entries.items()
+        )
 
     def join(self, other: Record) -> None:
-        """Take what the other copy holds and this one does not."""
+        """Take in what the other copy holds and this one does not."""
         if other.incarnation < self.incarnation:
             return
         if other.incarnation > self.incarnation:
-            self.incarnation, self.top, self.at, self.entries = (
-                other.incarnation,
-                other.top,
-                other.at,
-                dict(other.entries),
-            )
+            self._replace_with(other)
             return
         for key, entry in other.entries.items():
-            self.entries[key] = max(self.entries.get(key, (-1, None)), entry, key=_rank)
+            self.entries[key] = max(self.entries.get(key, _BELOW_ANY_ENTRY), entry, key=_rank)
         if other.top > self.top:
-            self.at = other.at
+            self.changed_at = other.changed_at
         elif other.top == self.top:
-            self.at = max(self.at, other.at)
+            self.changed_at = max(self.changed_at, other.changed_at)
         self.top = max(self.top, other.top)
 
+    def _replace_with(self, other: Record) -> None:
+        self.incarnation = other.incarnation
+        self.top = other.top
+        self.changed_at = other.changed_at
+        self.entries = dict(other.entries)
+
 
 def _rank(entry: Entry) -> tuple[int, bytes]:
-    # Equal numbers with unlike values are an origin's fault; all have to prefer the same.
-    return entry[0], b"" if entry[1] is None else b"\1" + entry[1]
+    # Two values under one number are a fault of the origin; all copies must still prefer the same one.
+    return entry.number, b"" if entry.value is None else b"\1" + entry.value
 
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """How far the sender's copies go, as ``(origin, (generation, random, top))`` pairs.
+    """How far the sender's copies go.
 
-    ``complete``: the sender holds no other origins; ``requests_newer``: the receiver sends what is newer.
+    ``complete``: the sender holds no other origins; ``requests_newer``: the receiver is to answer with a
+    digest of what it lacks, so that the sender sends that too.
     """
 
-    versions: tuple[tuple[str, Version], ...]
+    versions: tuple[OriginVersion, ...]
     complete: bool = False
     requests_newer: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Delta:
-    """The changes of an origin after ``base`` up to ``top``; of use to copies that go as far as ``base``.
+    """The changes of an origin after ``base`` up to ``top``, for copies that go at least as far as ``base``.
 
     ``age`` is how many seconds ago the change ``top`` was made, as far as the sender knows.
     """
@@ -85,4 +144,10 @@
     base: int
     top: int
     age: float
-    entries: tuple[tuple[str, int, bytes | None], ...]
+    entries: tuple[KeyChange, ...]
+
+    @property
+    def version(self) -> Version:
+        """How far a copy goes that has taken this delta in."""
+        generation, nonce = self.incarnation
+        return Version(generation, nonce, self.top)
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -158,7 +158,7 @@
         return [json.loads(line) for line in text.splitlines() if line.startswith("{")]
 
     def view(self, m: int) -> dict[str, Any]:
-        views = [line for line in self.lines(m) if line["event"] == "view"]
+        views = [line for line in self.lines(m) if line["event"] == "peers.view.changed"]
         return views[-1] if views else {"members": "", "condition": "none"}
 
     def agree(self, members: list[int]) -> bool:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -15,7 +15,9 @@
 from grebeproxy.membership.wire import MAX_BYTES, Sealed, packed
 from grebeproxy.peers import OperatorFileError, load, parse
 from grebeproxy.peers.node import PayloadReceived, Datagram, Node, Tick, Wake
-from grebeproxy.replica.store import DELTA_BYTES, PER_DIGEST, Limits
+from grebeproxy.replica import Limits
+from grebeproxy.replica.deltas import MAX_DELTA_BYTES
+from grebeproxy.replica.exchange import MAX_ORIGINS_PER_DIGEST
 
 WHOLE = """
 peers {
@@ -36,7 +38,7 @@
     config = parse(WHOLE, "n1")
     assert config.listen == config.member.address == ("127.0.0.1", 7946) and config.member.fleet == 3
     assert (config.member.period, config.member.timeout, config.lease) == (0.5, 0.15, 3.0)
-    assert [(duty.name, duty.every) for duty in config.duties] == [("nightly", 0.25)]
+    assert [(duty.name, duty.interval) for duty in config.duties] == [("nightly", 0.25)]
 
 
 def test_the_example_can_be_used() -> None:
@@ -64,6 +66,7 @@
         ("duty", "dutty", "dutty:"),
         ("peers {", "peers { {", "file:"),
         ("peers {", "piers {", "piers:"),
+        ('duty "nightly" {', "duty {", "duty:"),
     ],
 )
 def test_a_faulty_key_is_named_in_one_line(old: str, new: str, key: str) -> None:
@@ -73,6 +76,14 @@
     assert str(caught.value).startswith(key) and "\n" not in str(caught.value)
 
 
+@pytest.mark.parametrize(
+    ("text", "key"), [("peers = 3", "peers:"), (WHOLE[: WHOLE.index("duty")] + "duty = 3", "duty:")]
+)
+def test_a_value_in_place_of_a_block_is_a_fault_of_that_key(text: str, key: str) -> None:
+    with pytest.raises(OperatorFileError, match=f"^{key}"):
+        parse(text, "n1")
+
+
 @settings(max_examples=20)
 @given(st.text(max_size=60))
 def test_any_other_text_is_refused_and_nothing_else_happens(text: str) -> None:
@@ -106,7 +117,7 @@
 
 def node() -> Node:
     made = Node(CONFIG, 5, Random(5), 0.0)
-    made.begin(0.0)
+    made.start(0.0)
     return made
 
 
@@ -142,14 +153,14 @@
 def test_the_longest_of_each_kind_fits_a_packet() -> None:
     name = "n" * 32
     fact = Fact(name, ("255.255.255.255", 65535), 2**56, 2**40, State.SUSPECT, name)
-    versions = [["o" * 32, 2**40, 2**48, 2**53] for _ in range(PER_DIGEST)]
+    versions = [["o" * 32, 2**40, 2**48, 2**53] for _ in range(MAX_ORIGINS_PER_DIGEST)]
     value = bytes(Limits().value)
     for payload in (
         [1, packed(Message(Kind.GOSSIP, fact, 2**40, name, 2**64 - 1, (fact,) * 8))],
         [2, name, 2**56, [1, "d" * 64, 2**53, 2**51]],
         [3, name, versions, True, True],
         [4, name, name, 2**40, 2**48, 2**53, 2**53, 14.9, [["k" * 64, 2**53, value]]],
-        [4, name, name, 2**40, 2**48, 2**53, 2**53, 14.9, [["k", 2**53, b""]] * (DELTA_BYTES // 17)],
+        [4, name, name, 2**40, 2**48, 2**53, 2**53, 14.9, [["k", 2**53, b""]] * (MAX_DELTA_BYTES // 17)],
     ):
         assert len(Sealed(b"k" * 16, 2**56, 2**32 - 1).seal(payload)) <= MAX_BYTES
 
--- a/tests/test_peers_lab.py
+++ b/tests/test_peers_lab.py
@@ -43,7 +43,7 @@
     lab.until(lambda: lab.agree(rest), 30.0)
     lab.signal(signal.SIGCONT, first)  # later than every time-out
     lab.until(lambda: lab.agree(list(range(n))), 30.0)
-    assert any(line.get("what") == "stood still" for line in lab.lines(first))
+    assert any(line["event"] == "peers.member.stood_still" for line in lab.lines(first))
     lab.acts_on(15.0)
     second = int(lab.effects[-1][1][1][1:])
     lab.kill(second)
@@ -126,7 +126,7 @@
     assert lab.processes[holder].wait(10) == 0
     rest = [m for m in range(3) if m != holder]
     lab.until(lambda: lab.agree(rest), 30.0)
-    assert any(line.get("what") == "left" for line in lab.lines(rest[0]) + lab.lines(rest[1]))
+    assert any(line["event"] == "peers.member.left" for line in lab.lines(rest[0]) + lab.lines(rest[1]))
     lab.until(lambda: lab.effects[-1][1][1] != f"n{holder}", 10.0)
     lab.check()
 
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -16,6 +16,9 @@
     Changed,
     Delta,
     Digest,
+    Entry,
+    Incarnation,
+    KeyChange,
     Limits,
     Members,
     MessageReceived,
@@ -24,18 +27,18 @@
     Store,
     Woken,
 )
-from grebeproxy.replica.store import HEARTBEAT_KEY
+from grebeproxy.replica.records import HEARTBEAT_KEY
 
 LIMITS = Limits()
 SEEDS = range(60)
-LIFE = (0, 7)
+INCARNATION = Incarnation(0, 7)
 ENTRIES = st.dictionaries(
     st.sampled_from("abc"),
-    st.tuples(st.integers(0, 5), st.one_of(st.none(), st.binary(max_size=2))),
+    st.builds(Entry, st.integers(0, 5), st.one_of(st.none(), st.binary(max_size=2))),
     max_size=3,
 )
-LIVES = st.tuples(st.integers(0, 1), st.integers(0, 1))
-RECORDS = st.builds(Record, LIVES, st.integers(0, 9), st.floats(0, 9), ENTRIES)
+INCARNATIONS = st.builds(Incarnation, st.integers(0, 1), st.integers(0, 1))
+RECORDS = st.builds(Record, INCARNATIONS, st.integers(0, 9), st.floats(0, 9), ENTRIES)
 
 
 def joined(*records: Record) -> Record:
@@ -69,7 +72,7 @@
         heappush(self.queue, (self.now, next(self.numbers), m, Woken()))
 
     def put(self, m: int, key: str, value: bytes | None) -> None:
-        self.stores[m].put(self.now, key, value)
+        self.stores[m].publish(self.now, key, value)
         if value is None:
             self.said[m].pop(key, None)
         else:
@@ -159,7 +162,7 @@
         net.put(m, "k", b"v")
     net.until_alike(20.0)
     del net.stores[3]
-    net.run(LIMITS.ttl + 2 * LIMITS.every + 1.0)
+    net.run(LIMITS.ttl + 2 * LIMITS.exchange_interval + 1.0)
     assert not any("n3" in store.records for store in net.stores.values())
     net.run(10.0)
     assert net.alike()
@@ -167,7 +170,7 @@
 
 def test_an_old_copy_that_comes_late_is_not_taken() -> None:
     store = Store("n0", LIMITS, Random(1), 0.0)
-    old = Delta("n1", LIFE, 0, 3, LIMITS.ttl, (("k", 3, b"v"),))
+    old = Delta("n1", INCARNATION, 0, 3, LIMITS.ttl, (KeyChange("k", 3, b"v"),))
     assert not [e for e in store.step(1.0, [MessageReceived("n2", old)]) if isinstance(e, Changed)]
     store.step(1.0, [MessageReceived("n2", replace(old, age=LIMITS.ttl - 1.0))])
     assert store.get("n1", "k") == b"v"
@@ -176,7 +179,7 @@
 
 def test_a_delta_with_a_gap_before_it_is_not_taken() -> None:
     store = Store("n0", LIMITS, Random(1), 0.0)
-    store.step(0.0, [MessageReceived("n1", Delta("n1", LIFE, 4, 5, 0.0, (("k", 5, b"v"),)))])
+    store.step(0.0, [MessageReceived("n1", Delta("n1", INCARNATION, 4, 5, 0.0, (KeyChange("k", 5, b"v"),)))])
     assert "n1" not in store.records
 
 
@@ -192,13 +195,16 @@
 
 TOLD = st.tuples(
     st.sampled_from(["n1", "n2", "n0"]),
-    LIVES,
+    INCARNATIONS,
     st.integers(-1, 9),
     st.integers(-1, 9),
     st.floats(-1, 20),
     st.lists(
-        st.tuples(
-            st.sampled_from(["", "a", "b"]), st.integers(0, 9), st.one_of(st.none(), st.binary(max_size=3))
+        st.builds(
+            KeyChange,
+            st.sampled_from(["", "a", "b"]),
+            st.integers(0, 9),
+            st.one_of(st.none(), st.binary(max_size=3)),
         ),
         max_size=3,
     ),
@@ -208,9 +214,9 @@
 @given(st.lists(TOLD, max_size=20))
 def test_whatever_comes_copies_stay_within_what_was_told(told: list[Any]) -> None:
     store = Store("n0", LIMITS, Random(1), 0.0)
-    store.put(0.0, "mine", b"v")
-    for origin, life, base, top, age, entries in told:
-        store.step(0.0, [MessageReceived("n3", Delta(origin, life, base, top, age, tuple(entries)))])
+    store.publish(0.0, "mine", b"v")
+    for origin, incarnation, base, top, age, entries in told:
+        store.step(0.0, [MessageReceived("n3", Delta(origin, incarnation, base, top, age, tuple(entries)))])
     values = {(origin, key, value) for origin, _, _, _, _, entries in told for key, _, value in entries}
     for origin, record in store.records.items():
         if origin != "n0":
@@ -224,18 +230,20 @@
     store = Store("n0", limits, Random(1), 0.0)
     for key, value in (("", b""), ("k" * 65, b""), ("k", b"x" * 11)):
         with pytest.raises(ValueError, match="at most|must have"):
-            store.put(0.0, key, value)
+            store.publish(0.0, key, value)
     for n in range(4):
-        store.put(0.0, f"k{n}", b"x")
+        store.publish(0.0, f"k{n}", b"x")
     with pytest.raises(ValueError, match="keys at most"):
-        store.put(0.0, "k4", b"x")
-    many = tuple((f"k{n}", n + 1, b"") for n in range(6))
-    large = tuple((f"k{n}", n + 1, b"x" * 30) for n in range(4))
+        store.publish(0.0, "k4", b"x")
+    many = tuple(KeyChange(f"k{n}", n + 1, b"") for n in range(6))
+    large = tuple(KeyChange(f"k{n}", n + 1, b"x" * 30) for n in range(4))
     for origin, entries in (("n1", many), ("n2", large)):
-        store.step(0.0, [MessageReceived("n9", Delta(origin, LIFE, 0, 9, 0.0, entries))])
+        store.step(0.0, [MessageReceived("n9", Delta(origin, INCARNATION, 0, 9, 0.0, entries))])
         assert origin not in store.records
     for n in range(1, 9):
-        store.step(0.0, [MessageReceived("n9", Delta(f"n{n}", LIFE, 0, 1, 0.0, (("k", 1, b"v"),)))])
+        store.step(
+            0.0, [MessageReceived("n9", Delta(f"n{n}", INCARNATION, 0, 1, 0.0, (KeyChange("k", 1, b"v"),)))]
+        )
     assert len(store.records) == 4 and store.rejected == 2 + 5
 
 
