--- a/deploy/peers.hcl
+++ b/deploy/peers.hcl
@@ -1,17 +1,18 @@
-# What routers share, where BALANCER_PEERS names this file; without it nothing of it is even imported.
-# Each router has a copy of its own: listen (and advertise) differ, all else is alike, or they do not hear each other.
+# Membership and duties shared by routers, on where BALANCER_PEERS names this file; otherwise not even imported.
+# Each router has a copy of its own: listen and advertise differ, everything else must be the same, or the
+# routers reject each other's packets.
 peers {
   listen    = "127.0.0.1:7946"
-  advertise = "127.0.0.1:7946" # where the others reach it; listen, if left out
-  fleet     = 3                # routers that are configured: more than half of them are a quorum
+  advertise = "127.0.0.1:7946" # where the others reach it; defaults to listen
+  fleet     = 3                # number of configured routers; more than half of them are a quorum
   seeds     = ["127.0.0.1:7946", "127.0.0.1:7947", "127.0.0.1:7948"]
   key       = "change this: 16 to 64 bytes"
-  period_ms = 500  # between probes
-  lease_ms  = 3000 # for which a duty is held at a time
-  settle_ms = 3000 # without change, until a view counts as settled
+  period_ms = 500  # between health checks
+  lease_ms  = 3000 # duration of a duty's lease
+  settle_ms = 3000 # without a change, until a view is settled
 }
 
-# One router at a time does this, every so often: one line to where it takes effect.
+# A task that one router at a time does, every every_ms: one line sent to report.
 # duty "nightly" {
 #   report   = "127.0.0.1:9000"
 #   every_ms = 1000
--- a/grebeproxy/lab/control/fleet.py
+++ b/grebeproxy/lab/control/fleet.py
@@ -155,7 +155,7 @@
         instance = self._rng.getrandbits(56)
         config = self.config(router)
         core = node.Node(config, instance, Random(instance), self.now, self.limits)
-        process = Process(router, core, Sealed(KEY, instance, config.mark), Account())
+        process = Process(router, core, Sealed(KEY, instance, config.settings_digest), Account())
         self.processes[router] = process
         return process
 
--- a/grebeproxy/lab/control/memory.py
+++ b/grebeproxy/lab/control/memory.py
@@ -34,7 +34,7 @@
     try:
         before, _ = tracemalloc.get_traced_memory()
         core = node.Node(config, rng.getrandbits(56), Random(seed), NOW, Limits())
-        sealed = Sealed(KEY, core.instance, config.mark)
+        sealed = Sealed(KEY, core.instance, config.settings_digest)
         payloads = [sealed.open(packet) for packet in packets]
         senders = [wire.unpacked(payload[1]).sender for payload in payloads if payload[0] == node.MEMBER]
         acquaint(core, senders, NOW)
@@ -53,7 +53,7 @@
 def _packets(member: int, rng: Random, fleet: Fleet, key_bytes: int) -> list[bytes]:
     """What one member sends: a ping, and a change of its key if there is one."""
     instance = rng.getrandbits(56)
-    sealed = Sealed(KEY, instance, fleet.config(member).mark)
+    sealed = Sealed(KEY, instance, fleet.config(member).settings_digest)
     fact = Fact(name(member), address(member), instance, 0, State.ALIVE)
     ping = Message(Kind.PING, fact, number=1, target=name(0))
     packets = [sealed.seal([node.MEMBER, wire.packed(ping)])]
--- a/grebeproxy/lab/scale/member.py
+++ b/grebeproxy/lab/scale/member.py
@@ -27,7 +27,7 @@
         rng = Random(seed)
         instance = rng.getrandbits(INSTANCE_BITS)
         self.config, self._clock, self._meter = config, clock, meter
-        self._sealed = Sealed(config.key, instance, config.mark)
+        self._sealed = Sealed(config.key, instance, config.settings_digest)
         self.node = Node(config, instance, rng, clock.now())
         self.refused = 0
         self.changes: dict[str, tuple[float, str]] = {}  # by member: when something was told of it, and what
--- a/grebeproxy/peers/operator_file.py
+++ b/grebeproxy/peers/operator_file.py
@@ -45,7 +45,7 @@
     duties: tuple[Duty, ...]
 
     @property
-    def mark(self) -> int:
+    def settings_digest(self) -> int:
         """A digest of the settings that must be the same at all routers, carried by every packet.
 
         Routers whose settings differ reject each other's packets.
--- a/grebeproxy/peers/runtime.py
+++ b/grebeproxy/peers/runtime.py
@@ -26,7 +26,7 @@
         instance = int.from_bytes(os.urandom(INSTANCE_BYTES), "big")
         self.config = config
         self.node = Node(config, instance, Random(instance), self.now())
-        self._sealed = Sealed(config.key, instance, config.mark)
+        self._sealed = Sealed(config.key, instance, config.settings_digest)
         self._log = EventLog(self.now)
         self._duty_tasks = DutyTasks(config.duties, self._token, self._on_duty_rejected, self._log)
         self._transport: asyncio.DatagramTransport | None = None
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -1,7 +1,7 @@
-"""Real router processes on loopback, with relays between them that drop, delay, double, cut or stall.
+"""Real router processes on loopback, with relays between them that lose, delay, duplicate or cut.
 
-Each router is reached by the others at a port of a relay, which knows who sent what by the port it came from,
-and passes it on, or does not. A duty's stand-in keeps an independent record of what took effect.
+Each router advertises a port of its own relay. The relay knows the sender of a packet by the port it came
+from, and forwards it or not. A server for the duty keeps an independent record of what took effect.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
 
 def free_port(kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-    with socket.socket(socket.AF_INET, kind) as taken:
-        taken.bind(("127.0.0.1", 0))
-        port: int = taken.getsockname()[1]
+    with socket.socket(socket.AF_INET, kind) as bound:
+        bound.bind(("127.0.0.1", 0))
+        port: int = bound.getsockname()[1]
         return port
 
 
 class Relay(asyncio.DatagramProtocol):
-    """What the others send to one router."""
+    """Receives what the others send to one router."""
 
     def __init__(self, lab: Lab, to: int) -> None:
         self.lab, self.to = lab, to
@@ -53,29 +53,30 @@
         lab.bytes += len(data)
         if lab.cut(sender, self.to) or lab.rng.random() < lab.loss:
             return
-        for _ in range(1 + (lab.rng.random() < lab.twice)):
-            asyncio.get_running_loop().call_later(lab.rng.uniform(*lab.delay), self.pass_on, data)
+        for _ in range(1 + (lab.rng.random() < lab.duplication)):
+            asyncio.get_running_loop().call_later(lab.rng.uniform(*lab.delay), self.forward, data)
 
-    def pass_on(self, data: bytes) -> None:
+    def forward(self, data: bytes) -> None:
         if self.transport is not None:
             self.transport.sendto(data, ("127.0.0.1", self.lab.ports[self.to]))
 
 
 class Lab:
-    """So many routers. Faults are set from the test; a thread of its own carries the network."""
+    """``size`` routers. Tests set the faults; relays and the duty's server run on another thread."""
 
-    def __init__(self, folder: Path, n: int, seed: int = 1) -> None:
-        self.folder, self.n, self.rng = folder, n, Random(seed)
-        self.ports = [free_port(socket.SOCK_DGRAM) for _ in range(n)]
-        self.by_port = {port: m for m, port in enumerate(self.ports)}
+    def __init__(self, folder: Path, size: int, seed: int = 1) -> None:
+        self.folder, self.size, self.rng = folder, size, Random(seed)
+        self.ports = [free_port(socket.SOCK_DGRAM) for _ in range(size)]
+        self.by_port = {port: router for router, port in enumerate(self.ports)}
         self.cut: Callable[[int, int], bool] = lambda a, b: False
-        self.loss = self.twice = 0.0
+        self.loss = self.duplication = 0.0
         self.delay = (0.0, 0.005)
         self.datagrams = self.bytes = 0
-        self.fence, self.late = Fence(), 0
+        self.fence = Fence()
+        self.rejected = 0  # reports under a token that is no longer the highest
         self.effects: list[tuple[float, Token]] = []
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
-        self.lives = [0] * n
+        self.starts = [0] * size
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
@@ -83,15 +84,15 @@
 
     async def listen(self) -> tuple[list[int], int]:
         ports = []
-        for m in range(self.n):
-            relay = partial(Relay, self, m)
+        for router in range(self.size):
+            relay = partial(Relay, self, router)
             transport, _ = await self.loop.create_datagram_endpoint(relay, ("127.0.0.1", 0))
             ports.append(transport.get_extra_info("sockname")[1])
-        server = await asyncio.start_server(self.take, "127.0.0.1", 0)
+        server = await asyncio.start_server(self.serve_duty, "127.0.0.1", 0)
         return ports, server.sockets[0].getsockname()[1]
 
-    async def take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """A duty takes effect here, or is refused."""
+    async def serve_duty(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer one report: the duty takes effect, or the report is rejected."""
         match (await reader.readline()).decode().split():
             case ["do", duty, ballot, holder]:
                 token = (int(ballot), holder)
@@ -99,25 +100,25 @@
                     self.effects.append((time.monotonic(), token))
                     writer.write(b"ACK\n")
                 else:
-                    self.late += 1
+                    self.rejected += 1
                     writer.write("NAK {} {}\n".format(*self.fence.highest(duty)).encode())
         writer.close()
 
-    def start(self, *members: int, fleet: int | None = None) -> None:
-        for m in members:
-            home = self.folder / f"n{m}"
+    def start(self, *routers: int, fleet: int | None = None) -> None:
+        for router in routers:
+            home = self.folder / f"n{router}"
             home.mkdir(exist_ok=True)
             port, log = free_port(), free_port()
-            told = with_changes(
-                {"name": f"n{m}", "listen": f"127.0.0.1:{port}", "changelog": f"127.0.0.1:{log}"}
+            config = with_changes(
+                {"name": f"n{router}", "listen": f"127.0.0.1:{port}", "changelog": f"127.0.0.1:{log}"}
             )
-            (home / "config.json").write_bytes(orjson.dumps(told))
+            (home / "config.json").write_bytes(orjson.dumps(config))
             seeds = ", ".join(f'"127.0.0.1:{relay}"' for relay in self.relays)
             (home / "peers.hcl").write_text(f"""
 peers {{
-  listen    = "127.0.0.1:{self.ports[m]}"
-  advertise = "127.0.0.1:{self.relays[m]}"
-  fleet     = {fleet or self.n}
+  listen    = "127.0.0.1:{self.ports[router]}"
+  advertise = "127.0.0.1:{self.relays[router]}"
+  fleet     = {fleet or self.size}
   seeds     = [{seeds}]
   key       = "{KEY}"
   period_ms = {PERIOD_MS}
@@ -129,9 +130,9 @@
   every_ms = 50
 }}
 """)
-            out = (home / f"log{self.lives[m]}").open("wb")
-            self.lives[m] += 1
-            self.processes[m] = subprocess.Popen(
+            out = (home / f"log{self.starts[router]}").open("wb")
+            self.starts[router] += 1
+            self.processes[router] = subprocess.Popen(
                 [sys.executable, "-m", "grebeproxy"],
                 stdout=out,
                 stderr=subprocess.DEVNULL,
@@ -142,40 +143,40 @@
                 },
             )
 
-    def signal(self, number: signal.Signals, *members: int) -> None:
-        for m in members:
-            self.processes[m].send_signal(number)
+    def signal(self, number: signal.Signals, *routers: int) -> None:
+        for router in routers:
+            self.processes[router].send_signal(number)
 
-    def kill(self, *members: int) -> None:
-        for m in members:
-            process = self.processes.pop(m)
+    def kill(self, *routers: int) -> None:
+        for router in routers:
+            process = self.processes.pop(router)
             process.kill()
             process.wait()
 
-    def lines(self, m: int) -> list[dict[str, Any]]:
-        """What the router's latest process has logged of what routers share."""
-        text = (self.folder / f"n{m}" / f"log{self.lives[m] - 1}").read_text()
+    def lines(self, router: int) -> list[dict[str, Any]]:
+        """The log events of the router's latest process."""
+        text = (self.folder / f"n{router}" / f"log{self.starts[router] - 1}").read_text()
         return [json.loads(line) for line in text.splitlines() if line.startswith("{")]
 
-    def view(self, m: int) -> dict[str, Any]:
-        views = [line for line in self.lines(m) if line["event"] == "peers.view.changed"]
+    def view(self, router: int) -> dict[str, Any]:
+        views = [line for line in self.lines(router) if line["event"] == "peers.view.changed"]
         return views[-1] if views else {"members": "", "condition": "none"}
 
-    def agree(self, members: list[int]) -> bool:
-        names = " ".join(f"n{m}" for m in members)
-        return all(self.view(m)["members"] == names for m in members)
+    def agree(self, routers: list[int]) -> bool:
+        names = " ".join(f"n{router}" for router in routers)
+        return all(self.view(router)["members"] == names for router in routers)
 
-    def until(self, wanted: Callable[[], bool], most: float) -> float:
+    def until(self, condition: Callable[[], bool], timeout: float) -> float:
         began = time.monotonic()
-        while not wanted():
-            assert time.monotonic() - began < most, f"not within {most} s"
+        while not condition():
+            assert time.monotonic() - began < timeout, f"not within {timeout} s"
             time.sleep(0.1)
         return time.monotonic() - began
 
-    def acts_on(self, most: float) -> None:
-        """The duty is done again, by somebody."""
+    def until_duty_is_done(self, timeout: float) -> None:
+        """Wait until the duty has taken effect some more times, whoever holds its lease."""
         before = len(self.effects)
-        self.until(lambda: len(self.effects) > before + 5, most)
+        self.until(lambda: len(self.effects) > before + 5, timeout)
 
     def end(self) -> None:
         for process in self.processes.values():
@@ -185,6 +186,6 @@
         self.thread.join(10)
 
     def check(self) -> None:
-        """Of what took effect nothing came after something under a higher token."""
+        """Fail unless the tokens of all that took effect are in order."""
         tokens = [token for _, token in self.effects]
         assert tokens == sorted(tokens) and tokens
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""The operator file, and what a router makes of payloads that make no sense."""
+"""The operator file, and the node's handling of payloads, votes and wake-ups."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from grebeproxy.replica.deltas import MAX_DELTA_BYTES
 from grebeproxy.replica.exchange import MAX_ORIGINS_PER_DIGEST
 
-WHOLE = """
+COMPLETE = """
 peers {
   listen = "127.0.0.1:7946"
   fleet  = 3
@@ -35,13 +35,13 @@
 
 
 def test_a_file_is_read_with_its_defaults() -> None:
-    config = parse(WHOLE, "n1")
+    config = parse(COMPLETE, "n1")
     assert config.listen == config.member.address == ("127.0.0.1", 7946) and config.member.fleet == 3
     assert (config.member.period, config.member.timeout, config.lease) == (0.5, 0.15, 3.0)
     assert [(duty.name, duty.interval) for duty in config.duties] == [("nightly", 0.25)]
 
 
-def test_the_example_can_be_used() -> None:
+def test_the_example_file_is_valid() -> None:
     assert load(str(EXAMPLE), "n1").member.fleet == 3
 
 
@@ -70,14 +70,14 @@
     ],
 )
 def test_a_faulty_key_is_named_in_one_line(old: str, new: str, key: str) -> None:
-    assert old in WHOLE
+    assert old in COMPLETE
     with pytest.raises(OperatorFileError) as caught:
-        parse(WHOLE.replace(old, new, 1), "n1")
+        parse(COMPLETE.replace(old, new, 1), "n1")
     assert str(caught.value).startswith(key) and "\n" not in str(caught.value)
 
 
 @pytest.mark.parametrize(
-    ("text", "key"), [("peers = 3", "peers:"), (WHOLE[: WHOLE.index("duty")] + "duty = 3", "duty:")]
+    ("text", "key"), [("peers = 3", "peers:"), (COMPLETE[: COMPLETE.index("duty")] + "duty = 3", "duty:")]
 )
 def test_a_value_in_place_of_a_block_is_a_fault_of_that_key(text: str, key: str) -> None:
     with pytest.raises(OperatorFileError, match=f"^{key}"):
@@ -86,21 +86,21 @@
 
 @settings(max_examples=20)
 @given(st.text(max_size=60))
-def test_any_other_text_is_refused_and_nothing_else_happens(text: str) -> None:
+def test_any_other_text_is_rejected_with_a_typed_error(text: str) -> None:
     with pytest.raises(OperatorFileError):
         parse(text, "n1")
 
 
-def test_a_file_that_cannot_be_read_and_a_name_that_cannot_be_are_told_of(tmp_path: Path) -> None:
+def test_an_unreadable_file_and_an_invalid_name_are_errors(tmp_path: Path) -> None:
     with pytest.raises(OperatorFileError):
         load(str(tmp_path / "none"), "n1")
     with pytest.raises(OperatorFileError, match=r"peers\.name"):
-        parse(WHOLE, "n" * 33)
+        parse(COMPLETE, "n" * 33)
 
 
-def test_what_has_to_be_alike_makes_the_mark() -> None:
-    marks = {
-        parse(WHOLE.replace(old, new), name).mark
+def test_the_settings_digest_covers_what_must_be_the_same_at_all_routers() -> None:
+    digests = {
+        parse(COMPLETE.replace(old, new), name).settings_digest
         for old, new, name in (
             ("", "", "n1"),
             ("fleet  = 3", "fleet = 5", "n1"),
@@ -108,11 +108,13 @@
             ("fleet  = 3", "fleet = 3\nlease_ms = 9", "n1"),
         )
     }
-    assert len(marks) == 4
-    assert parse(WHOLE, "n1").mark == parse(WHOLE.replace(":7946", ":1"), "n2").mark
+    assert len(digests) == 4
+    assert (
+        parse(COMPLETE, "n1").settings_digest == parse(COMPLETE.replace(":7946", ":1"), "n2").settings_digest
+    )
 
 
-CONFIG = parse(WHOLE, "n1")
+CONFIG = parse(COMPLETE, "n1")
 
 
 def node() -> Node:
@@ -142,7 +144,7 @@
 
 @settings(max_examples=40)
 @given(st.lists(PAYLOADS, max_size=12))
-def test_payloads_that_make_no_sense_are_counted_and_harm_nothing(payloads: list[Any]) -> None:
+def test_malformed_payloads_are_counted_and_change_nothing(payloads: list[Any]) -> None:
     router = node()
     for number, payload in enumerate(payloads):
         router.step(0.01 * number, [PayloadReceived(payload)])
@@ -150,7 +152,7 @@
     assert router.rejected <= len(payloads)
 
 
-def test_the_longest_of_each_kind_fits_a_packet() -> None:
+def test_the_longest_payload_of_each_kind_fits_a_packet() -> None:
     name = "n" * 32
     fact = Fact(name, ("255.255.255.255", 65535), 2**56, 2**40, State.SUSPECT, name)
     versions = [["o" * 32, 2**40, 2**48, 2**53] for _ in range(MAX_ORIGINS_PER_DIGEST)]
@@ -165,7 +167,7 @@
         assert len(Sealed(b"k" * 16, 2**56, 2**32 - 1).seal(payload)) <= MAX_BYTES
 
 
-def test_a_vote_counts_only_from_the_process_that_is_the_member() -> None:
+def test_a_vote_counts_only_from_the_current_process_of_a_member() -> None:
     one = node()
     other = Fact("n2", ("127.0.0.1", 7947), 9, 0, State.ALIVE)
     one.step(1.0, [PayloadReceived([1, packed(Message(Kind.GOSSIP, other))])])
@@ -180,7 +182,7 @@
     assert (answers(8), answers(9)) == ([], [other.address])
 
 
-def test_it_asks_to_be_woken_and_nothing_is_missed_where_it_is_woken_late() -> None:
+def test_a_late_tick_is_followed_by_another_wake() -> None:
     router, now = node(), 0.0
     for _ in range(200):
         wakes = [effect.at for effect in router.step(now, [Tick()]) if isinstance(effect, Wake)]
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""What routers say of themselves: copies that become alike, and nothing kept of one that is gone."""
+"""The replica store: copies converge, records of routers that are gone expire, and limits hold."""
 
 from __future__ import annotations
 
@@ -42,41 +42,41 @@
 
 
 def joined(*records: Record) -> Record:
-    whole = Record()
+    result = Record()
     for record in records:
-        whole.join(record)
-    return whole
+        result.join(record)
+    return result
 
 
 @given(RECORDS, RECORDS, RECORDS)
-def test_joining_is_the_same_in_any_order_and_however_often(a: Record, b: Record, c: Record) -> None:
+def test_join_is_commutative_associative_and_idempotent(a: Record, b: Record, c: Record) -> None:
     assert joined(a, b, c) == joined(c, joined(b, a), a, b)
 
 
 class Net:
-    """Stores on one clock; what the machine between them does is up to a seed and the test."""
+    """Stores on one simulated clock; the network between them follows a seed and the test."""
 
     def __init__(self, seed: int, n: int, limits: Limits = LIMITS) -> None:
         self.rng, self.now, self.limits, self.numbers = Random(seed), 100.0, limits, count()
         self.loss, self.side = 0.0, [0] * n
         self.stores: dict[int, Store] = {}
         self.queue: list[tuple[float, int, int, Any]] = []
-        self.said: list[dict[str, bytes]] = [{} for _ in range(n)]  # what each says, as a model
+        self.published: list[dict[str, bytes]] = [{} for _ in range(n)]  # by each, as a model
         self.sent = 0
         for m in range(n):
             self.start(m)
 
     def start(self, m: int) -> None:
         self.stores[m] = Store(f"n{m}", self.limits, Random(self.rng.random()), self.now)
-        self.said[m] = {}
+        self.published[m] = {}
         heappush(self.queue, (self.now, next(self.numbers), m, Woken()))
 
     def put(self, m: int, key: str, value: bytes | None) -> None:
         self.stores[m].publish(self.now, key, value)
         if value is None:
-            self.said[m].pop(key, None)
+            self.published[m].pop(key, None)
         else:
-            self.said[m][key] = value
+            self.published[m][key] = value
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
@@ -85,31 +85,31 @@
             store = self.stores.get(m)
             if store is None:
                 continue
-            held = {origin: record.version for origin, record in store.records.items()}
-            there = tuple(f"n{o}" for o in self.stores if o != m and self.side[o] == self.side[m])
-            for effect in store.step(self.now, [Members(there), event]):
+            versions = {origin: record.version for origin, record in store.records.items()}
+            reachable = tuple(f"n{o}" for o in self.stores if o != m and self.side[o] == self.side[m])
+            for effect in store.step(self.now, [Members(reachable), event]):
                 if isinstance(effect, Send):
                     self.sent += 1
-                    self.pass_on(m, int(effect.to[1:]), effect.message)
+                    self.forward(m, int(effect.to[1:]), effect.message)
             assert all(
                 store.records[origin].version >= version
-                for origin, version in held.items()
+                for origin, version in versions.items()
                 if origin in store.records
             )
             if isinstance(event, Woken):
                 heappush(self.queue, (max(store.next_at, self.now + 1e-3), next(self.numbers), m, Woken()))
         self.now = until
 
-    def pass_on(self, a: int, b: int, message: Digest | Delta) -> None:
-        for _ in range(1 + (self.rng.random() < 0.2)):  # some come twice, and in any order
+    def forward(self, a: int, b: int, message: Digest | Delta) -> None:
+        for _ in range(1 + (self.rng.random() < 0.2)):  # some are duplicated, and the order changes
             if self.side[a] == self.side[b] and self.rng.random() >= self.loss:
                 at = self.now + self.rng.uniform(0.001, 0.3)
                 heappush(self.queue, (at, next(self.numbers), b, MessageReceived(f"n{a}", message)))
 
-    def alike(self) -> bool:
-        """Each holds what each says, and nothing else."""
+    def converged(self) -> bool:
+        """Whether each holds what each publishes, and nothing else."""
 
-        def held(store: Store, origin: str) -> dict[str, bytes]:
+        def values(store: Store, origin: str) -> dict[str, bytes]:
             record = store.records.get(origin, Record())
             return {
                 key: value
@@ -118,21 +118,21 @@
             }
 
         return all(
-            held(store, f"n{m}") == self.said[m] for store in self.stores.values() for m in self.stores
+            values(store, f"n{m}") == self.published[m] for store in self.stores.values() for m in self.stores
         ) and not any(
             int(origin[1:]) not in self.stores for store in self.stores.values() for origin in store.records
         )
 
-    def until_alike(self, most: float) -> float:
+    def until_converged(self, most: float) -> float:
         began = self.now
-        while not self.alike():
-            assert self.now - began < most, f"not alike within {most} s"
+        while not self.converged():
+            assert self.now - began < most, f"not converged within {most} s"
             self.run(0.25)
         return self.now - began
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_after_any_trouble_all_hold_what_all_say(seed: int) -> None:
+def test_copies_converge_after_loss_partitions_and_restarts(seed: int) -> None:
     net = Net(seed, 3 + seed % 6)
     for _ in range(60):
         m = net.rng.choice(sorted(net.stores))
@@ -143,7 +143,7 @@
             case 3:
                 net.put(m, key, None)
             case 4:
-                net.start(m)  # the same name, and it remembers nothing
+                net.start(m)  # a new process of the same name, without state
             case 5:
                 net.side = [net.rng.randrange(3) for _ in net.side]
             case 6:
@@ -152,23 +152,23 @@
                 net.loss = net.rng.choice([0.0, 0.3])
         net.run(net.rng.uniform(0.0, 2.0))
     net.side, net.loss = [0] * len(net.side), 0.0
-    net.until_alike(30.0)
+    net.until_converged(30.0)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_what_a_router_said_expires_with_it_everywhere_and_does_not_come_back(seed: int) -> None:
+def test_the_record_of_a_router_that_is_gone_expires_everywhere_for_good(seed: int) -> None:
     net = Net(seed, 6)
     for m in range(6):
         net.put(m, "k", b"v")
-    net.until_alike(20.0)
+    net.until_converged(20.0)
     del net.stores[3]
     net.run(LIMITS.ttl + 2 * LIMITS.exchange_interval + 1.0)
     assert not any("n3" in store.records for store in net.stores.values())
     net.run(10.0)
-    assert net.alike()
+    assert net.converged()
 
 
-def test_an_old_copy_that_comes_late_is_not_taken() -> None:
+def test_a_delta_as_old_as_the_ttl_is_rejected() -> None:
     store = Store("n0", LIMITS, Random(1), 0.0)
     old = Delta("n1", INCARNATION, 0, 3, LIMITS.ttl, (KeyChange("k", 3, b"v"),))
     assert not [e for e in store.step(1.0, [MessageReceived("n2", old)]) if isinstance(e, Changed)]
@@ -177,23 +177,23 @@
     assert store.step(2.5, [Woken()]) == [Changed("n1")] and store.get("n1", "k") is None
 
 
-def test_a_delta_with_a_gap_before_it_is_not_taken() -> None:
+def test_a_delta_with_a_gap_before_it_is_rejected() -> None:
     store = Store("n0", LIMITS, Random(1), 0.0)
     store.step(0.0, [MessageReceived("n1", Delta("n1", INCARNATION, 4, 5, 0.0, (KeyChange("k", 5, b"v"),)))])
     assert "n1" not in store.records
 
 
 @pytest.mark.parametrize("n", [2, 20, 100])
-def test_large_records_and_large_fleets_are_told_in_parts(n: int) -> None:
+def test_large_records_and_large_fleets_are_exchanged_in_parts(n: int) -> None:
     net = Net(1, n)
     for key in range(12 if n < 100 else 1):
         net.put(0, f"k{key}", bytes(500))
     for m in range(n):
         net.put(m, "k", b"%d" % m)
-    net.until_alike(60.0)
+    net.until_converged(60.0)
 
 
-TOLD = st.tuples(
+DELTAS = st.tuples(
     st.sampled_from(["n1", "n2", "n0"]),
     INCARNATIONS,
     st.integers(-1, 9),
@@ -211,13 +211,13 @@
 )
 
 
-@given(st.lists(TOLD, max_size=20))
-def test_whatever_comes_copies_stay_within_what_was_told(told: list[Any]) -> None:
+@given(st.lists(DELTAS, max_size=20))
+def test_copies_hold_only_what_was_received(deltas: list[Any]) -> None:
     store = Store("n0", LIMITS, Random(1), 0.0)
     store.publish(0.0, "mine", b"v")
-    for origin, incarnation, base, top, age, entries in told:
+    for origin, incarnation, base, top, age, entries in deltas:
         store.step(0.0, [MessageReceived("n3", Delta(origin, incarnation, base, top, age, tuple(entries)))])
-    values = {(origin, key, value) for origin, _, _, _, _, entries in told for key, _, value in entries}
+    values = {(origin, key, value) for origin, _, _, _, _, entries in deltas for key, _, value in entries}
     for origin, record in store.records.items():
         if origin != "n0":
             assert {(origin, key, value) for key, (_, value) in record.entries.items()} <= values
@@ -247,7 +247,7 @@
     assert len(store.records) == 4 and store.rejected == 2 + 5
 
 
-def test_what_was_taken_back_is_forgotten_in_time() -> None:
+def test_tombstones_are_removed_in_time() -> None:
     net = Net(1, 3)
     for n in range(400):
         net.put(0, f"k{n}", b"x")
