--- a/grebeproxy/peers/__init__.py
+++ b/grebeproxy/peers/__init__.py
@@ -1,7 +1,7 @@
-"""Routers that know each other: off unless an operator file switches it on, and not imported until then."""
+"""Membership, duties and records that routers share; not imported unless an operator file enables them."""
 
-from grebeproxy.peers.runtime import Peers
 from grebeproxy.peers.node import Node
 from grebeproxy.peers.operator_file import OperatorFileError, PeersConfig, load, parse
+from grebeproxy.peers.runtime import Peers
 
 __all__ = ["Node", "OperatorFileError", "Peers", "PeersConfig", "load", "parse"]
--- a/grebeproxy/peers/duty_client.py
+++ b/grebeproxy/peers/duty_client.py
@@ -3,7 +3,7 @@
     request = "do" NAME BALLOT HOLDER
     answer  = "ACK" ...  |  "NAK" BALLOT HOLDER
 
-A ``NAK`` carries the highest fencing token that was seen where the duty takes effect.
+A ``NAK`` carries the highest fencing token that the receiver has seen.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class DutyAnswerError(GrebeproxyError, OSError):
-    """The place where a duty takes effect answered with a line that is neither ``ACK`` nor ``NAK``.
+    """The receiver of a report answered with a line that is neither ``ACK`` nor ``NAK``.
 
     Derives from ``OSError`` as well, so that it counts as a failed report like a lost connection.
     """
--- a/grebeproxy/peers/duty_leases.py
+++ b/grebeproxy/peers/duty_leases.py
@@ -11,7 +11,7 @@
 from grebeproxy.peers.operator_file import PeersConfig
 from grebeproxy.peers.payloads import pack_vote
 
-LONG_SLEEP = 3600.0  # seconds until a part is woken that has not asked for a time
+LONG_SLEEP = 3600.0  # seconds until a part is woken that has requested no time
 
 
 class DutyLeases:
@@ -29,11 +29,11 @@
         self._duties = tuple(duty.name for duty in config.duties)
 
     def claim_all(self, now: float) -> list[Effect]:
-        """Ask for the leases of all duties."""
+        """Request the leases of all duties."""
         return self.step(now, *(lease.LeaseWanted(duty) for duty in self._duties))
 
     def release_all(self, now: float) -> list[Effect]:
-        """Give the leases back, and ask for them no longer."""
+        """Give the leases back, and request them no longer."""
         return self.step(now, *(lease.LeaseWanted(duty, False) for duty in self._duties))
 
     def wake(self, now: float) -> list[Effect]:
--- a/grebeproxy/peers/duty_tasks.py
+++ b/grebeproxy/peers/duty_tasks.py
@@ -15,7 +15,7 @@
     """Starts and stops the tasks of duties; ``close`` ends them all.
 
     ``token`` gives the fencing token under which a duty may be done now, or ``None``. ``on_rejected`` is
-    called with a duty's name and the higher token that was seen where the duty takes effect.
+    called with a duty's name and the higher token that the receiver of the report has seen.
     """
 
     def __init__(
--- a/grebeproxy/peers/event_log.py
+++ b/grebeproxy/peers/event_log.py
@@ -10,7 +10,7 @@
 
 
 class EventLog:
-    """Writes at most ``MAX_EVENTS_PER_SECOND``; the next event after that tells how many were suppressed."""
+    """Writes at most ``MAX_EVENTS_PER_SECOND``; the next event has the number of those suppressed."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._log = structlog.wrap_logger(
--- a/grebeproxy/peers/interface.py
+++ b/grebeproxy/peers/interface.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """The time asked for with ``Wake`` has come."""
+    """The time requested with ``Wake`` has come."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyRejected:
-    """A duty was rejected where it takes effect, because a higher fencing token was seen there."""
+    """The receiver of a duty's report rejected it: it has seen a higher fencing token."""
 
     duty: str
     token: Token
--- a/grebeproxy/peers/node.py
+++ b/grebeproxy/peers/node.py
@@ -1,8 +1,8 @@
 """Membership, duty leases and the replica store, put together behind one reducer.
 
 I/O-free like its parts: ``step(now, events)`` gives effects. The node hands each payload to the part that it
-is for, and tells the leases and the store of each new view of the members. The runtime seals and opens
-datagrams, keeps the timer and does the duties.
+is for, and passes each new view of the members to the leases and the store. The runtime seals and opens
+datagrams, runs the timer and does the duties.
 """
 
 from __future__ import annotations
@@ -104,7 +104,7 @@
         return None if self.ended else self.leases.token(duty, now)
 
     def start(self, now: float) -> list[Effect]:
-        """Ask for the leases of all duties; gives the first effects."""
+        """Request the leases of all duties; gives the first effects."""
         self._effects += self._duty_leases.claim_all(now)
         return self._effects + self.step(now, [])
 
@@ -147,7 +147,7 @@
             self._store_wake_at = self.store.next_at
 
     def _request_wake(self) -> None:
-        """Ask for a ``Wake`` if the earliest time moved up, or none is pending."""
+        """Request a ``Wake`` if the earliest time moved up, or none is pending."""
         at = min(self._membership_wake_at, self._duty_leases.wake_at, self._store_wake_at)
         if self._wake_at is None or at < self._wake_at:
             self._wake_at = at
--- a/grebeproxy/peers/operator_fields.py
+++ b/grebeproxy/peers/operator_fields.py
@@ -1,6 +1,6 @@
 """Reading the operator file's HCL: the only place where its untyped document is handled.
 
-``read_document`` gives the blocks of a file; ``Fields`` takes the fields of one block, checked and typed.
+``read_document`` gives the blocks of a file; ``Fields`` reads the fields of one block, checked and typed.
 """
 
 from __future__ import annotations
@@ -69,13 +69,13 @@
 
 
 class Fields:
-    """The fields of one block, each taken once; errors name the block and the field."""
+    """The fields of one block, each read once; errors name the block and the field."""
 
     def __init__(self, block: str, fields: Mapping[str, object]) -> None:
         self._block = block
         self._fields = dict(fields)
 
-    def _take(self, name: str) -> object:
+    def _pop(self, name: str) -> object:
         return self._fields.pop(name, None)
 
     def fault(self, name: str, text: str) -> OperatorFileError:
@@ -84,14 +84,14 @@
 
     def text(self, name: str) -> str:
         """Text, which is required."""
-        value = self._take(name)
+        value = self._pop(name)
         if not isinstance(value, str):
             raise self.fault(name, "must be text")
         return value
 
     def number(self, name: str, default: float | None = None, *, least: float = 0.0) -> float:
         """A number of at least ``least``; required where there is no default."""
-        value = self._take(name)
+        value = self._pop(name)
         if value is None:
             value = default
         if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < NUMBER_BOUND:
@@ -107,14 +107,14 @@
 
     def address(self, name: str, default: Address | None = None) -> Address:
         """An IPv4 address and a port; required where there is no default."""
-        value = self._take(name)
+        value = self._pop(name)
         if value is None and default is not None:
             return default
         return self._address(name, value)
 
     def addresses(self, name: str) -> tuple[Address, ...]:
         """A list of addresses, empty by default."""
-        value = self._take(name)
+        value = self._pop(name)
         if not isinstance(value, list | None):
             raise self.fault(name, "must be a list of host:port")
         return tuple(self._address(name, item) for item in value or ())
@@ -128,7 +128,7 @@
         return host, int(port)
 
     def done(self) -> None:
-        """Reject fields that were not taken: a misspelt key must not pass for one that is left out."""
+        """Reject fields that were not read: a misspelt key must not pass for one that is left out."""
         if self._fields:
             raise self.fault(min(self._fields), "not known")
 
--- a/grebeproxy/peers/runtime.py
+++ b/grebeproxy/peers/runtime.py
@@ -45,14 +45,13 @@
         self._carry_out(self.node.start(self.now()))
 
     async def stop(self) -> None:
-        """Give back leases, tell the others that this router leaves, and close the socket."""
+        """Give back leases, announce that this router leaves, and close the socket."""
         self._step(interface.ShutdownRequested())
         if self._timer is not None:
             self._timer.cancel()
         await self._duty_tasks.close()
-        await asyncio.sleep(
-            0.0
-        )  # datagrams that the socket could not take at once leave in the loop's next turn
+        # Datagrams that the socket could not accept at once leave in the loop's next turn.
+        await asyncio.sleep(0.0)
         if self._transport is not None:
             self._transport.close()
 
@@ -66,7 +65,7 @@
         self._step(interface.PayloadReceived(payload))
 
     def error_received(self, exc: Exception) -> None:
-        """A member's machine reports that nobody listens there: its health check shows as much."""
+        """A member's machine reports a closed port; the health check of that member finds the same."""
 
     def _on_rejected_packet(self, reason: str) -> None:
         count = self._rejected.get(reason, 0) + 1
--- a/grebeproxy/replica/deltas.py
+++ b/grebeproxy/replica/deltas.py
@@ -28,7 +28,7 @@
 def is_acceptable(delta: Delta, ttl: float) -> bool:
     """Whether a delta is younger than ``ttl`` seconds and its numbers are in bounds.
 
-    An older one is not taken, or routers would keep passing on the record of one that is gone.
+    An older one is rejected, or routers would go on forwarding the record of one that no longer runs.
     """
     return delta.age < ttl and 0 <= delta.base <= delta.top <= MAX_COUNTER
 
--- a/grebeproxy/replica/exchange.py
+++ b/grebeproxy/replica/exchange.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: digests that tell how far copies go, and the answers to those of others."""
+"""Anti-entropy: digests of how far copies go, and the answers to those of others."""
 
 from __future__ import annotations
 
--- a/grebeproxy/replica/own_record.py
+++ b/grebeproxy/replica/own_record.py
@@ -36,7 +36,7 @@
             raise PublishLimitError(f"{key}: all that is published has {limits.record} bytes at most")
 
     def heartbeat_if_due(self, now: float) -> None:
-        """Refresh the record if nothing has changed for a while."""
+        """Refresh the record if its last change is a quarter of ``Limits.ttl`` ago."""
         if now - self.record.changed_at >= self._limits.ttl / HEARTBEATS_PER_TTL:
             self._change(now, HEARTBEAT_KEY, b"")
 
--- a/grebeproxy/replica/records.py
+++ b/grebeproxy/replica/records.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 HEARTBEAT_KEY = ""  # the key that an origin changes only to refresh its record
-MAX_COUNTER = 2**53  # highest generation and change number that are taken from others
+MAX_COUNTER = 2**53  # highest generation and change number that are accepted from others
 ENTRY_OVERHEAD_BYTES = 8  # counted for each entry of a record, beside its key and value
 
 
--- a/grebeproxy/replica/store.py
+++ b/grebeproxy/replica/store.py
@@ -1,9 +1,9 @@
 """One router's copies of what all routers publish, as a reducer: ``step(now, events)`` gives effects.
 
 Every ``Limits.exchange_interval`` or so the store sends digests to one other member, which answers with what
-is newer there and asks for what is newer here. Each origin refreshes its record regularly. A copy that was
-not refreshed for ``Limits.ttl`` seconds expires, and one of that age is not taken from others, so the record
-of a router that is gone does not stay alive by being passed on.
+is newer there and requests what is newer here. Each origin refreshes its record regularly. A copy that was
+not refreshed for ``Limits.ttl`` seconds expires, and one of that age is not accepted from others, so the
+record of a router that no longer runs is not kept alive by being forwarded.
 """
 
 from __future__ import annotations
