--- a/grebeproxy/peers/node.py
+++ b/grebeproxy/peers/node.py
@@ -36,11 +36,8 @@
     DIGEST,
     MEMBER,
     VOTE,
-    MemberMessage,
     PayloadError,
-    PeerMessage,
-    ReplicaMessage,
-    VoteMessage,
+    Received,
     pack_member,
     pack_replica,
     unpack,
@@ -163,16 +160,16 @@
             return
         self._on_message(now, message)
 
-    def _on_message(self, now: float, message: PeerMessage) -> None:
+    def _on_message(self, now: float, message: Received) -> None:
         match message:
-            case MemberMessage(member_message):
-                self._step_membership(now, membership.MessageReceived(member_message))
-            case VoteMessage(sender, instance, vote):
-                if self._is_current_member(sender, instance):
-                    self._step_leases(now, lease.VoteReceived(sender, instance, vote))
-            case ReplicaMessage(sender, replica_message):
-                if sender in self.view.members:
-                    self._step_store(now, replica.MessageReceived(sender, replica_message))
+            case membership.MessageReceived():
+                self._step_membership(now, message)
+            case lease.VoteReceived():
+                if self._is_current_member(message.sender, message.instance):
+                    self._step_leases(now, message)
+            case replica.MessageReceived():
+                if message.sender in self.view.members:
+                    self._step_store(now, message)
 
     def _is_current_member(self, name: object, instance: object) -> bool:
         """Whether a process is the one that is now the member of its name: votes of others do not count."""
--- a/grebeproxy/peers/payloads.py
+++ b/grebeproxy/peers/payloads.py
@@ -10,12 +10,13 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple, Union
+from typing import Any, Union
 
+from grebeproxy import membership, replica
 from grebeproxy.errors import GrebeproxyError
 from grebeproxy.membership import Message, wire
-from grebeproxy.membership.lease import Vote, VoteKind
-from grebeproxy.replica.records import Delta, Digest, Incarnation, KeyChange, OriginVersion, Version
+from grebeproxy.membership.lease import Vote, VoteKind, VoteReceived
+from grebeproxy.replica.records import Delta, Digest, Incarnation, KeyChange, Version
 
 # The kinds of payloads, as they stand on the wire.
 MEMBER = 1
@@ -33,28 +34,8 @@
     """A payload that was sealed with the right key but whose fields make no sense."""
 
 
-class MemberMessage(NamedTuple):
-    """A message of the membership protocol, which names its sender itself."""
-
-    message: Message
-
-
-class VoteMessage(NamedTuple):
-    """A message on a lease; ``sender`` and ``instance`` are as received, and may be of any type."""
-
-    sender: str
-    instance: int
-    vote: Vote
-
-
-class ReplicaMessage(NamedTuple):
-    """A message of the replica store; ``sender`` is as received, and may be of any type."""
-
-    sender: str
-    message: Digest | Delta
-
-
-PeerMessage = Union[MemberMessage, VoteMessage, ReplicaMessage]
+# What the parts of the node take. ``sender`` and ``instance`` are as received, and may be of any type.
+Received = Union[membership.MessageReceived, VoteReceived, replica.MessageReceived]
 
 
 def pack_member(message: Message) -> Payload:
@@ -77,7 +58,7 @@
     return [DELTA, sender, message.origin, *incarnation, message.base, message.top, message.age, changes]
 
 
-def unpack(payload: Any) -> PeerMessage:
+def unpack(payload: Any) -> Received:
     """The message in a payload. Raises ``PayloadError`` for one that is malformed.
 
     Who a message says it is from is not checked here: the node compares that with the members it knows.
@@ -85,13 +66,13 @@
     try:
         kind, fields = payload[0], payload[1:]
         if kind == MEMBER:
-            return MemberMessage(wire.unpacked(fields[0]))
+            return membership.MessageReceived(wire.unpacked(fields[0]))
         if kind == VOTE:
-            return VoteMessage(fields[0], fields[1], _unpack_vote(fields[2]))
+            return VoteReceived(fields[0], fields[1], _unpack_vote(fields[2]))
         if kind == DIGEST:
-            return ReplicaMessage(fields[0], _unpack_digest(fields[1:]))
+            return replica.MessageReceived(fields[0], _unpack_digest(fields[1:]))
         if kind == DELTA:
-            return ReplicaMessage(fields[0], _unpack_delta(fields[1:]))
+            return replica.MessageReceived(fields[0], _unpack_delta(fields[1:]))
     except (wire.WireError, IndexError, KeyError, TypeError, ValueError) as error:
         raise PayloadError(f"malformed: {error}") from None
     raise PayloadError("of an unknown kind")
@@ -108,7 +89,7 @@
         raise PayloadError("too many origins")
     return Digest(
         tuple(
-            OriginVersion(_text(origin), Version(_natural(generation), _natural(nonce), _natural(top)))
+            (_text(origin), Version(_natural(generation), _natural(nonce), _natural(top)))
             for origin, generation, nonce, top in versions
         ),
         complete is True,
--- a/grebeproxy/replica/deltas.py
+++ b/grebeproxy/replica/deltas.py
@@ -13,7 +13,7 @@
     """The changes after ``base`` in their order, as many as fit into one packet."""
     changes: list[KeyChange] = []
     size = 0
-    top = record.top
+    top = record.version.top
     for key, (number, value) in sorted(record.entries.items(), key=lambda item: item[1][0]):
         if number <= base:
             continue
@@ -37,7 +37,7 @@
     """Whether a delta can be joined to the copy: no change before it is missing, and it is not outdated."""
     if copy is None:
         return delta.base <= 0
-    known_top = copy.top if copy.incarnation == delta.incarnation else 0
+    known_top = copy.version.top if copy.incarnation == delta.incarnation else 0
     return delta.base <= known_top and delta.version >= copy.version
 
 
@@ -46,7 +46,7 @@
     entries = {key: Entry(number, value) for key, number, value in delta.entries}
     made_at = now - max(0.0, delta.age)
     record = copy.copy() if copy is not None else Record()
-    record.join(Record(delta.incarnation, delta.top, made_at, entries))
+    record.join(Record(delta.version, made_at, entries))
     return record
 
 
--- a/grebeproxy/replica/exchange.py
+++ b/grebeproxy/replica/exchange.py
@@ -4,11 +4,11 @@
 
 from grebeproxy.replica.deltas import delta_after
 from grebeproxy.replica.own_record import OwnRecord
-from grebeproxy.replica.records import Delta, Digest, Incarnation, OriginVersion, Record
+from grebeproxy.replica.records import Delta, Digest, Record, Version
 
 MAX_ORIGINS_PER_DIGEST = 16  # so that a digest fits one packet
 MAX_DIGESTS_PER_EXCHANGE = 6
-_NO_RECORD = Record(Incarnation(-1, 0))  # below any copy
+_NO_RECORD = Record(Version(-1, 0, 0))  # below any copy
 
 
 class Exchange:
@@ -34,8 +34,8 @@
             for position in range(0, count, MAX_ORIGINS_PER_DIGEST)
         ]
 
-    def _versions(self, origins: list[str]) -> tuple[OriginVersion, ...]:
-        return tuple(OriginVersion(origin, self._records[origin].version) for origin in origins)
+    def _versions(self, origins: list[str]) -> tuple[tuple[str, Version], ...]:
+        return tuple((origin, self._records[origin].version) for origin in origins)
 
     def answers(self, now: float, digest: Digest) -> list[Delta | Digest]:
         """What to send to the sender of a digest: newer changes, and a digest of the copies that are behind.
@@ -43,7 +43,7 @@
         Begins a new incarnation of one's own record where the digest names a higher one.
         """
         answers: list[Delta | Digest] = []
-        behind: list[OriginVersion] = []
+        behind: list[tuple[str, Version]] = []
         for origin, remote in digest.versions:
             copy = self._records.get(origin, _NO_RECORD)
             if origin == self._own.name and remote.incarnation > copy.incarnation:
@@ -53,7 +53,7 @@
                 base = remote.top if copy.incarnation == remote.incarnation else 0
                 answers += self._changes_after(base, origin, copy, now)
             elif version < remote:
-                behind.append(OriginVersion(origin, version))
+                behind.append((origin, version))
         if digest.complete:
             named = {origin for origin, _ in digest.versions}
             for origin in sorted(self._records.keys() - named):
--- a/grebeproxy/replica/own_record.py
+++ b/grebeproxy/replica/own_record.py
@@ -4,7 +4,7 @@
 
 from grebeproxy.replica.expiry import Tombstones
 from grebeproxy.replica.interface import Limits, PublishLimitError
-from grebeproxy.replica.records import HEARTBEAT_KEY, MAX_COUNTER, Entry, Incarnation, Record
+from grebeproxy.replica.records import HEARTBEAT_KEY, MAX_COUNTER, Entry, Incarnation, Record, Version
 
 MAX_KEY_BYTES = 64
 HEARTBEATS_PER_TTL = 4  # so that the loss of some messages lets no record expire
@@ -42,8 +42,8 @@
 
     def supersede(self, now: float, other: Incarnation) -> None:
         """Begin an incarnation above that of another process of this name, which may have ended or not."""
-        generation = min(other.generation, MAX_COUNTER) + 1
-        self.record.incarnation = Incarnation(generation, self.record.incarnation.nonce)
+        _, nonce, top = self.record.version
+        self.record.version = Version(min(other.generation, MAX_COUNTER) + 1, nonce, top)
         self._change(now, HEARTBEAT_KEY, b"")
 
     def _check(self, key: str, value: bytes | None) -> None:
@@ -53,7 +53,9 @@
             raise PublishLimitError(f"{key}: a value has {self._limits.value} bytes at most")
 
     def _change(self, now: float, key: str, value: bytes | None) -> None:
-        self.record.top += 1
+        generation, nonce, top = self.record.version
+        number = top + 1
+        self.record.version = Version(generation, nonce, number)
         self.record.changed_at = now
-        self.record.entries[key] = Entry(self.record.top, value)
+        self.record.entries[key] = Entry(number, value)
         self._tombstones.record(self.name, key, value)
--- a/grebeproxy/replica/records.py
+++ b/grebeproxy/replica/records.py
@@ -43,13 +43,6 @@
         return Incarnation(self.generation, self.nonce)
 
 
-class OriginVersion(NamedTuple):
-    """How far the copy of one origin goes."""
-
-    origin: str
-    version: Version
-
-
 class KeyChange(NamedTuple):
     """One change of a key; a value of ``None`` withdraws the key."""
 
@@ -58,7 +51,7 @@
     value: bytes | None
 
 
-FIRST_INCARNATION = Incarnation(0, 0)
+FIRST_VERSION = Version(0, 0, 0)
 NO_ENTRY = Entry(0, None)
 _BELOW_ANY_ENTRY = Entry(-1, None)
 
@@ -67,23 +60,21 @@
 class Record:
     """The keys of one origin.
 
-    ``changed_at`` is when the change ``top`` was made, in seconds on the local clock, as far as is known.
+    ``changed_at`` is when the last change was made, in seconds on the local clock, as far as is known.
     """
 
-    incarnation: Incarnation = FIRST_INCARNATION
-    top: int = 0
+    version: Version = FIRST_VERSION
     changed_at: float = 0.0
     entries: dict[str, Entry] = field(default_factory=dict)
 
     @property
-    def version(self) -> Version:
-        """How far this copy goes."""
-        generation, nonce = self.incarnation
-        return Version(generation, nonce, self.top)
+    def incarnation(self) -> Incarnation:
+        """The process of the origin that made the changes."""
+        return self.version.incarnation
 
     def copy(self) -> Record:
         """The same with a dict of entries of its own."""
-        return Record(self.incarnation, self.top, self.changed_at, dict(self.entries))
+        return Record(self.version, self.changed_at, dict(self.entries))
 
     def size(self) -> int:
         """Bytes of keys and values, with ``ENTRY_OVERHEAD_BYTES`` for each entry."""
@@ -97,21 +88,17 @@
         if other.incarnation < self.incarnation:
             return
         if other.incarnation > self.incarnation:
-            self._replace_with(other)
+            self.version = other.version
+            self.changed_at = other.changed_at
+            self.entries = dict(other.entries)
             return
         for key, entry in other.entries.items():
             self.entries[key] = max(self.entries.get(key, _BELOW_ANY_ENTRY), entry, key=_rank)
-        if other.top > self.top:
+        if other.version > self.version:
             self.changed_at = other.changed_at
-        elif other.top == self.top:
+        elif other.version == self.version:
             self.changed_at = max(self.changed_at, other.changed_at)
-        self.top = max(self.top, other.top)
-
-    def _replace_with(self, other: Record) -> None:
-        self.incarnation = other.incarnation
-        self.top = other.top
-        self.changed_at = other.changed_at
-        self.entries = dict(other.entries)
+        self.version = max(self.version, other.version)
 
 
 def _rank(entry: Entry) -> tuple[int, bytes]:
@@ -121,13 +108,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """How far the sender's copies go.
+    """How far the sender's copies go, as pairs of an origin and a version.
 
     ``complete``: the sender holds no other origins; ``requests_newer``: the receiver is to answer with a
     digest of what it lacks, so that the sender sends that too.
     """
 
-    versions: tuple[OriginVersion, ...]
+    versions: tuple[tuple[str, Version], ...]
     complete: bool = False
     requests_newer: bool = True
 
--- a/grebeproxy/replica/store.py
+++ b/grebeproxy/replica/store.py
@@ -24,7 +24,7 @@
     Send,
 )
 from grebeproxy.replica.own_record import OwnRecord
-from grebeproxy.replica.records import NO_ENTRY, Delta, Digest, Incarnation, Record
+from grebeproxy.replica.records import NO_ENTRY, Delta, Digest, Record, Version
 
 NONCE_BITS = 48
 LEAST_INTERVAL, INTERVAL_SPREAD = 0.75, 0.5  # parts of the exchange interval: it is 0.75 to 1.25 of it
@@ -38,7 +38,7 @@
         self.limits = limits
         self.rng = rng
         self.now = now
-        own_record = Record(Incarnation(0, rng.getrandbits(NONCE_BITS)), 0, now)
+        own_record = Record(Version(0, rng.getrandbits(NONCE_BITS), 0), now)
         self.records: dict[str, Record] = {name: own_record}
         self.next_at = now  # when it wants to be woken
         self.rejected = 0  # deltas that would have exceeded the limits
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -25,6 +25,7 @@
     Record,
     Send,
     Store,
+    Version,
     Woken,
 )
 from grebeproxy.replica.records import HEARTBEAT_KEY
@@ -38,7 +39,8 @@
     max_size=3,
 )
 INCARNATIONS = st.builds(Incarnation, st.integers(0, 1), st.integers(0, 1))
-RECORDS = st.builds(Record, INCARNATIONS, st.integers(0, 9), st.floats(0, 9), ENTRIES)
+VERSIONS = st.builds(Version, st.integers(0, 1), st.integers(0, 1), st.integers(0, 9))
+RECORDS = st.builds(Record, VERSIONS, st.floats(0, 9), ENTRIES)
 
 
 def joined(*records: Record) -> Record:
