--- a/grebeproxy/lab/control/command.py
+++ b/grebeproxy/lab/control/command.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import gc
-import sys
 import time
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -12,18 +11,21 @@
 
 import click
 
-from grebeproxy.lab.capacity.measure.command import Sizes
+from grebeproxy.lab.cli import OneLineErrorCommand, SizeList, invocation
 from grebeproxy.lab.control import handover, lease, membership, outage, replica
-from grebeproxy.lab.control.fleet import NotReachedError
+from grebeproxy.lab.control.errors import FleetError
 from grebeproxy.lab.record import Point, record_now
 
-LEAST_SIZE = 24  # a rack is one router then
-MOST_SIZE = 2400
+MIN_SIZE = 24  # at this size a rack is one router
+MAX_SIZE = 2400
 
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """One part of the control code, with the sizes that it is measured at by default."""
+    """One measurement of the control code, with the fleet sizes it runs at by default.
+
+    ``measure`` takes a fleet size and a seed.
+    """
 
     name: str
     sizes: tuple[int, ...]
@@ -47,27 +49,16 @@
 def _bounded(
     ctx: click.Context, param: click.Parameter, sizes: tuple[int, ...] | None
 ) -> tuple[int, ...] | None:
-    """Refuse sizes that are too small for a rack, or above the target."""
-    if sizes is not None and not all(LEAST_SIZE <= size <= MOST_SIZE for size in sizes):
-        raise click.BadParameter(f"sizes are {LEAST_SIZE} to {MOST_SIZE} routers", ctx, param)
+    """Reject sizes that are too small for a rack, or above the target."""
+    if sizes is not None and not all(MIN_SIZE <= size <= MAX_SIZE for size in sizes):
+        raise click.BadParameter(f"sizes are {MIN_SIZE} to {MAX_SIZE} routers", ctx, param)
     return sizes
 
 
-class OneLineErrors(click.Command):
-    """A command that tells of wrong arguments in one line, without its usage."""
-
-    def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
-        """Read the arguments; an error keeps its message, on one line, and no context to show usage from."""
-        try:
-            return super().parse_args(ctx, args)
-        except click.UsageError as error:
-            raise click.UsageError(" ".join(error.format_message().split())) from None
-
-
-@click.command(cls=OneLineErrors)
+@click.command(cls=OneLineErrorCommand)
 @click.argument("name", type=click.Choice(sorted(BY_NAME)))
 @click.option(
-    "--sizes", type=Sizes(), callback=_bounded, help="Routers of each fleet, with commas between them."
+    "--sizes", type=SizeList(0), callback=_bounded, help="Routers of each fleet, with commas between them."
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--json", "path", type=click.Path(dir_okay=False, path_type=Path), help="Write the record.")
@@ -77,30 +68,29 @@
     chosen = measurement.sizes if sizes is None else sizes
     points: list[Point] = []
     for size in chosen:
-        points += _measured(measurement, size, seed)
+        points += _run(measurement, size, seed)
     for point in points:
-        click.echo(_lines(point))
+        click.echo(_text(point))
     if path is not None:
-        command = f"python -m grebeproxy.lab {' '.join(sys.argv[1:])}"
         note = "; ".join(filter(None, (CLOCK_NOTE, measurement.note)))
-        record_now(f"control-{name}", command, seed, tuple(points), note).save(path)
+        record_now(f"control-{name}", invocation(), seed, tuple(points), note).save(path)
 
 
-def _measured(measurement: Measurement, size: int, seed: int) -> list[Point]:
-    began = time.monotonic()
+def _run(measurement: Measurement, size: int, seed: int) -> list[Point]:
+    started_at = time.monotonic()
     click.echo(f"{measurement.name}: {size} routers ...", err=True)
     with _no_garbage_collection():
         try:
             points = measurement.measure(size, seed)
-        except NotReachedError as error:
+        except FleetError as error:
             raise click.ClickException(f"{measurement.name}: {error}") from None
-    click.echo(f"{measurement.name}: {size} routers took {time.monotonic() - began:.1f} s", err=True)
+    click.echo(f"{measurement.name}: {size} routers took {time.monotonic() - started_at:.1f} s", err=True)
     return points
 
 
 @contextmanager
 def _no_garbage_collection() -> Iterator[None]:
-    """A pass over the whole fleet's objects would count as one router's processor time."""
+    """Disable garbage collection: a pass over the whole fleet would count as one router's CPU time."""
     enabled = gc.isenabled()
     gc.disable()
     try:
@@ -110,6 +100,6 @@
             gc.enable()
 
 
-def _lines(point: Point) -> str:
+def _text(point: Point) -> str:
     sizes = " ".join(f"{name}={value:g}" for name, value in point.sizes.items())
     return "\n".join(f"{sizes} {name}={value:.6g}" for name, value in point.values.items())
--- /dev/null
+++ b/grebeproxy/lab/control/errors.py
@@ -0,0 +1,17 @@
+"""Errors of the simulated fleets."""
+
+from __future__ import annotations
+
+from grebeproxy.errors import GrebeproxyError
+
+
+class FleetError(GrebeproxyError):
+    """A measurement of a simulated fleet cannot go on."""
+
+
+class NotReachedError(FleetError):
+    """A condition did not hold within the simulated time that was allowed for it."""
+
+
+class NoLeaseHolderError(FleetError):
+    """No router holds the lease at a moment at which a measurement needs a holder."""
--- a/grebeproxy/lab/control/fleet.py
+++ b/grebeproxy/lab/control/fleet.py
@@ -1,7 +1,7 @@
 """Many routers' control code, ``peers.Node`` with the real sealed wire, on one simulated clock.
 
-I/O-free; all randomness comes from the seed. The network delays each datagram, may lose it, and carries none
-across a partition. Processor time of a step is counted and takes no simulated time.
+I/O-free; all randomness comes from the seed. The network delays each datagram, may lose it, and drops those
+that would cross a partition. The processor time of a step is counted but takes no simulated time.
 """
 
 from __future__ import annotations
@@ -13,146 +13,94 @@
 from random import Random
 from time import process_time_ns
 
+from grebeproxy.lab.control.addresses import address, name
+from grebeproxy.lab.control.converged import publish_keys, set_known_members
+from grebeproxy.lab.control.errors import NoLeaseHolderError, NotReachedError
+from grebeproxy.lab.control.model import NETWORK, NEVER, FailureReport, Network, Process, Scheduled
 from grebeproxy.lab.control.usage import TRAFFIC_OF_PAYLOAD, Account, Traffic, Usage
 from grebeproxy.membership import Config
-from grebeproxy.membership.model import Address, Fact
+from grebeproxy.membership.model import Address
 from grebeproxy.membership.wire import Sealed, WireError
 from grebeproxy.peers import node
 from grebeproxy.peers.operator_file import Duty, PeersConfig
-from grebeproxy.replica import Limits, Record
+from grebeproxy.replica import Limits
 
-ZONES = 6
-SEEDS = 3  # routers that all others are configured to ask first
-PORT = 7946
+START_TIME = 100.0  # seconds on the simulated clock
+SEED_ROUTERS = 3  # routers that all others are configured to contact first
 KEY = b"key of a simulated fleet"
+INSTANCE_BITS = 56
 LEASE_SECONDS = 3.0
 DUTY = Duty("primary", ("127.0.0.1", 9000), 1.0)
-SHORTEST_SLEEP = 0.001  # of a router's timer, as in ``peers.runtime``
-POLL_SECONDS = 0.05  # between two looks at whether a condition holds
-KEY_NAME = "share"  # of the key that each router publishes
+MIN_TIMER_SECONDS = 0.001  # the shortest timer of a router, as in ``peers.runtime``
+POLL_SECONDS = 0.05  # between two checks of whether a condition holds
 REPLICA_OFF = Limits(every=1e9)  # one digest at the start, and none after
 
 
-class NotReachedError(Exception):
-    """A condition did not hold within the simulated time that was allowed for it."""
-
-
-@dataclass(frozen=True, slots=True)
-class Network:
-    """Delay of a datagram in seconds, uniform between two bounds, and the part that is lost."""
-
-    least_delay: float = 0.001
-    most_delay: float = 0.01
-    loss: float = 0.0
-
-
-NETWORK = Network()
-
-
-@dataclass(frozen=True, slots=True)
-class LeaseEvent:
-    """A router began or ceased to hold the lease, at a simulated time."""
-
-    at: float
-    router: int
-    held: bool
-
-
-@dataclass(frozen=True, slots=True)
-class FailureReport:
-    """A router took another one for failed."""
-
-    at: float
-    reporter: int
-    failed: str
-
-
-@dataclass(slots=True)
-class Process:
-    """One running process of a router."""
-
-    router: int
-    node: node.Node
-    sealed: Sealed
-    account: Account
-    wake_at: float = float("inf")
-
-
 @dataclass(slots=True)
 class Fleet:
-    """``size`` routers; those that run are in ``processes`` by number."""
+    """``size`` routers; those that run are in ``processes`` by router number."""
 
     size: int
     seed: int
     network: Network = NETWORK
     limits: Limits = REPLICA_OFF
     duties: tuple[Duty, ...] = ()
-    key_bytes: int = 0  # of one key that each router publishes; none where 0
-    now: float = 100.0
+    key_bytes: int = 0  # length of the one key that each router publishes; 0 publishes none
+    now: float = START_TIME
     processes: dict[int, Process] = field(default_factory=dict)
-    separated: Callable[[int, int], bool] | None = None
-    lease_events: list[LeaseEvent] = field(default_factory=list)
+    partitioned: Callable[[int, int], bool] | None = None  # of sender and receiver: drop the datagram
     failure_reports: list[FailureReport] = field(default_factory=list)
-    refused_packets: int = 0
+    rejected_packets: int = 0
     _rng: Random = field(init=False)
     _order: count[int] = field(init=False)
-    _queue: list[tuple[float, int, int, Process | None, bytes]] = field(default_factory=list)
+    _queue: list[Scheduled] = field(default_factory=list)
     _router_at: dict[Address, int] = field(init=False)
 
     def __post_init__(self) -> None:
         """Set up the network's own randomness and addresses."""
-        self._rng, self._order = Random(self.seed), count()
+        self._rng = Random(self.seed)
+        self._order = count()
         self._router_at = {address(router): router for router in range(self.size)}
 
     # --- processes
 
     def start(self, *routers: int) -> None:
-        """Start processes that know only the seeds; one that runs already ends without a word."""
+        """Start processes that know only the seeds; one that runs already is replaced as after a crash."""
         for router in routers:
             process = self._create(router)
             self._carry_out(process, process.node.begin(self.now))
 
-    def start_acquainted(self) -> None:
+    def start_converged(self) -> None:
         """Start all routers as if they had run for long: each knows all others, and votes count at once."""
         for router in range(self.size):
             self._create(router)
         facts = [process.node.members.me for process in self.processes.values()]
         if self.key_bytes:
-            self._publish_keys()
+            stores = [process.node.store for process in self.processes.values()]
+            publish_keys(stores, self.key_bytes, self.now, self._rng)
         for process in self.processes.values():
-            acquaint(process.node, facts, self.now)
+            set_known_members(process.node, facts, self.now)
             self._carry_out(process, process.node.step(self.now, []))
 
-    def _publish_keys(self) -> None:
-        """Each router's store holds one key of each router, last marked at some time of the past."""
-        stores = [process.node.store for process in self.processes.values()]
-        for store in stores:
-            age = self._rng.uniform(0.0, store.limits.ttl / 4)
-            store.put(self.now - age, KEY_NAME, self._rng.randbytes(self.key_bytes))
-        originals = [(store.name, store.records[store.name]) for store in stores]
-        for store in stores:
-            copies = {origin: copy_of(record) for origin, record in originals if origin != store.name}
-            store.records.update(copies)
-
-    def want_lease(self, *routers: int) -> None:
-        """Have routers ask for the lease of their duties."""
+    def request_lease(self, *routers: int) -> None:
+        """Have routers begin to request the lease of their duties."""
         for router in routers:
             process = self.processes[router]
             self._carry_out(process, process.node.begin(self.now))
 
     def kill(self, *routers: int) -> None:
-        """End processes without a word to the others."""
+        """End processes as a crash does: the others are not notified."""
         for router in routers:
             del self.processes[router]
 
     def stop(self, router: int) -> None:
-        """End a process in order: it gives back its lease and says that it leaves."""
+        """Shut a process down gracefully: it returns its lease and notifies the others."""
         process = self.processes[router]
         self._carry_out(process, process.node.step(self.now, [node.Ending()]))
         del self.processes[router]
 
     def _create(self, router: int) -> Process:
-        instance = self._rng.getrandbits(56)
+        instance = self._rng.getrandbits(INSTANCE_BITS)
         config = self.config(router)
         core = node.Node(config, instance, Random(instance), self.now, self.limits)
         process = Process(router, core, Sealed(KEY, instance, config.mark), Account())
@@ -161,7 +109,7 @@
 
     def config(self, router: int) -> PeersConfig:
         """The configuration of one router."""
-        seeds = tuple(address(seed) for seed in range(min(SEEDS, self.size)))
+        seeds = tuple(address(seed) for seed in range(min(SEED_ROUTERS, self.size)))
         member = Config(name(router), address(router), self.size, seeds)
         return PeersConfig(address(router), member, KEY, LEASE_SECONDS, self.duties)
 
@@ -179,37 +127,37 @@
         self.now = until
 
     def run_until(
-        self, holds: Callable[[], bool], most_seconds: float, poll_seconds: float = POLL_SECONDS
+        self, holds: Callable[[], bool], max_seconds: float, poll_seconds: float = POLL_SECONDS
     ) -> float:
-        """Let time pass until a condition holds, and give the seconds. Raises ``NotReachedError``."""
-        began = self.now
+        """Let time pass until a condition holds; returns the seconds it took. Raises ``NotReachedError``."""
+        started_at = self.now
         while not holds():
-            if self.now - began >= most_seconds:
-                raise NotReachedError(f"not within {most_seconds:g} s with {self.size} routers")
+            if self.now - started_at >= max_seconds:
+                raise NotReachedError(f"not within {max_seconds:g} s with {self.size} routers")
             self.run(poll_seconds)
-        return self.now - began
+        return self.now - started_at
 
     def _wake(self, router: int, sleeper: Process) -> None:
         if self.processes.get(router) is not sleeper or sleeper.wake_at != self.now:
-            return  # that process has ended, or asked for another time since
-        sleeper.wake_at = float("inf")
-        began = process_time_ns()
+            return  # the process has ended, or has set its timer anew
+        sleeper.wake_at = NEVER
+        started_ns = process_time_ns()
         effects = sleeper.node.step(self.now, [node.Tick()])
-        spent = process_time_ns() - began
-        sleeper.account.by_traffic[_traffic_of(effects)].cpu_ns += spent
+        spent_ns = process_time_ns() - started_ns
+        sleeper.account.by_traffic[_traffic_of(effects)].cpu_ns += spent_ns
         self._carry_out(sleeper, effects)
 
     def _deliver(self, process: Process, packet: bytes) -> None:
-        began = process_time_ns()
+        started_ns = process_time_ns()
         try:
             payload = process.sealed.open(packet)
         except WireError:
-            self.refused_packets += 1  # as the edge does; the window of numbers has moved on past it
+            self.rejected_packets += 1  # as the socket code does, for example for a packet behind the window
             return
         effects = process.node.step(self.now, [node.PayloadReceived(payload)])
-        spent = process_time_ns() - began
+        spent_ns = process_time_ns() - started_ns
         usage = process.account.by_traffic[TRAFFIC_OF_PAYLOAD[payload[0]]]
-        usage.cpu_ns += spent
+        usage.cpu_ns += spent_ns
         usage.packets_received += 1
         usage.bytes_received += len(packet)
         self._carry_out(process, effects)
@@ -219,31 +167,30 @@
             match effect:
                 case node.Datagram(to, payload):
                     self._send(process, to, payload)
-                case node.Wake(at):
-                    process.wake_at = max(at, self.now + SHORTEST_SLEEP)
-                    heappush(self._queue, (process.wake_at, next(self._order), process.router, process, b""))
-                case node.Begin():
-                    self.lease_events.append(LeaseEvent(self.now, process.router, held=True))
-                case node.Stop():
-                    self.lease_events.append(LeaseEvent(self.now, process.router, held=False))
+                case node.Wake(time):
+                    process.wake_at = max(time, self.now + MIN_TIMER_SECONDS)
+                    self._schedule(process.wake_at, process.router, process)
                 case node.Line("member", (("what", "failed"), ("name", str(failed)))):
                     self.failure_reports.append(FailureReport(self.now, process.router, failed))
 
     def _send(self, process: Process, to: Address, payload: list[object]) -> None:
-        began = process_time_ns()
+        started_ns = process_time_ns()
         packet = process.sealed.seal(payload)
-        spent = process_time_ns() - began
+        spent_ns = process_time_ns() - started_ns
         usage = process.account.by_traffic[TRAFFIC_OF_PAYLOAD[payload[0]]]  # type: ignore[index]
-        usage.cpu_ns += spent
+        usage.cpu_ns += spent_ns
         usage.packets_sent += 1
         usage.bytes_sent += len(packet)
         receiver = self._router_at[to]
-        if self.separated is not None and self.separated(process.router, receiver):
+        if self.partitioned is not None and self.partitioned(process.router, receiver):
             return
         if self.network.loss and self._rng.random() < self.network.loss:
             return
-        at = self.now + self._rng.uniform(self.network.least_delay, self.network.most_delay)
-        heappush(self._queue, (at, next(self._order), receiver, None, packet))
+        arrival = self.now + self._rng.uniform(self.network.min_delay, self.network.max_delay)
+        self._schedule(arrival, receiver, None, packet)
+
+    def _schedule(self, time: float, router: int, sleeper: Process | None, packet: bytes = b"") -> None:
+        heappush(self._queue, Scheduled(time, next(self._order), router, sleeper, packet))
 
     # --- reading
 
@@ -251,58 +198,43 @@
         """The names in a router's view."""
         return self.processes[router].node.view.members
 
-    def agree(self, routers: Iterable[int]) -> bool:
-        """Each of these routers sees these, and no others."""
+    def has_converged(self, routers: Iterable[int]) -> bool:
+        """Whether the view of each of these routers holds exactly these routers."""
         chosen = tuple(routers)
         names = tuple(sorted(name(router) for router in chosen))
         return all(self.members_seen_by(router) == names for router in chosen)
 
     def usage(self, routers: Iterable[int], kinds: Iterable[Traffic] = tuple(Traffic)) -> Usage:
-        """The sum of what running routers have used."""
+        """The sum of the usage of those of the routers that run."""
         chosen_kinds = tuple(kinds)
         accounts = (self.processes[router].account for router in routers if router in self.processes)
         return sum((account.total(chosen_kinds) for account in accounts), start=Usage())
 
-    def holder(self) -> int | None:
-        """The router that holds the lease now, by its own clock."""
+    def lease_holder(self) -> int | None:
+        """The router that holds the lease now by its own clock, or ``None``."""
         for router, process in self.processes.items():
             if process.node.token(DUTY.name, self.now) is not None:
                 return router
         return None
 
-
-def name(router: int) -> str:
-    """A router's name; names sort as numbers do."""
-    return f"router-{router:04}"
-
-
-def zone(router: int) -> int:
-    """The zone that a router stands in; neighbours in number stand in different ones."""
-    return router % ZONES
-
-
-def address(router: int) -> Address:
-    """A router's simulated address."""
-    return f"10.{zone(router)}.{router >> 8}.{router & 255}", PORT
-
-
-def acquaint(core: node.Node, facts: Iterable[Fact], now: float) -> None:
-    """Give a new node the state of one that has long known these members.
-
-    Sets what no message can: through messages all of it would be news, to be passed on.
-    """
-    core.members.facts.update((fact.name, fact) for fact in facts if fact.name != core.config.member.name)
-    core.members._stale = True  # the view is to be made anew
-    core.leases._votes_from = now
+    def current_lease_holder(self) -> int:
+        """The router that holds the lease now. Raises ``NoLeaseHolderError``."""
+        holder = self.lease_holder()
+        if holder is None:
+            raise NoLeaseHolderError(f"no router holds the lease at {self.now:g} s")
+        return holder
 
 
-def copy_of(record: Record) -> Record:
-    """A record with entries of its own."""
-    return Record(record.incarnation, record.top, record.at, dict(record.entries))
+def converged_fleet(size: int, seed: int, settling_seconds: float) -> Fleet:
+    """A fleet whose routers all know each other, after some seconds in which nothing changed."""
+    fleet = Fleet(size, seed)
+    fleet.start_converged()
+    fleet.run(settling_seconds)
+    return fleet
 
 
 def _traffic_of(effects: Iterable[node.Effect]) -> Traffic:
-    """The part that a timer was for: that of the first datagram, else membership."""
+    """The kind of traffic a timer was for: that of the first datagram, else membership."""
     for effect in effects:
         if isinstance(effect, node.Datagram):
             return TRAFFIC_OF_PAYLOAD[effect.payload[0]]
--- a/grebeproxy/lab/control/lease.py
+++ b/grebeproxy/lab/control/lease.py
@@ -1,20 +1,24 @@
-"""A lease that all routers want: its renewal, and the time until another router holds it."""
+"""A lease that all routers request: its renewal, and the time until another router holds it."""
 
 from __future__ import annotations
 
 from statistics import median
 
 from grebeproxy.lab.control.fleet import DUTY, LEASE_SECONDS, Fleet
-from grebeproxy.lab.control.usage import Traffic
+from grebeproxy.lab.control.usage import Traffic, Usage
 from grebeproxy.lab.record import Point
 from grebeproxy.membership.lease import RENEW
 
 SIZES = (60, 120, 240, 600)
-MOST_TAKEOVER_SIZE = 240  # above it only renewals are measured: contention costs the square of the size
+MAX_TAKEOVER_SIZE = 240  # above it only renewals are measured: contention costs the square of the size
 RENEWALS = 10
 TAKEOVERS = 3
-MOST_SECONDS = 60.0
-NANOSECONDS_PERCENT = 1e7
+MAX_SECONDS = 60.0
+STARTING_SECONDS = 0.5  # before the first router requests the lease
+SETTLING_SECONDS = 2 * LEASE_SECONDS  # after all others have begun to request it
+REJOIN_SECONDS = 1.5 * LEASE_SECONDS  # for a restarted router to join before the next takeover
+CONTENTION_SECONDS = 2 * LEASE_SECONDS
+CONTENDING_ROUNDS = 2  # a router that sent this many packets to each other one still contends
 KINDS = (Traffic.LEASE,)
 
 
@@ -22,59 +26,57 @@
     """All points of one size."""
     fleet = fleet_with_holder(size, seed)
     values = _renewal_values(fleet)
-    if size <= MOST_TAKEOVER_SIZE:
-        values |= {**_takeover_values(fleet), **_contention_values(fleet)}
+    if size <= MAX_TAKEOVER_SIZE:
+        values |= _takeover_values(fleet)
+        values |= _contention_values(fleet)
     return [Point({"members": size}, values)]
 
 
 def fleet_with_holder(size: int, seed: int) -> Fleet:
-    """A fleet in which router 0 holds the lease, and all others want it."""
+    """A fleet in which router 0 holds the lease, and all others request it."""
     fleet = Fleet(size, seed, duties=(DUTY,))
-    fleet.start_acquainted()
-    fleet.run(0.5)
-    fleet.want_lease(0)
-    fleet.run_until(lambda: fleet.holder() == 0, MOST_SECONDS)
-    fleet.want_lease(*range(1, size))
-    fleet.run(2 * LEASE_SECONDS)
+    fleet.start_converged()
+    fleet.run(STARTING_SECONDS)
+    fleet.request_lease(0)
+    fleet.run_until(lambda: fleet.lease_holder() == 0, MAX_SECONDS)
+    fleet.request_lease(*range(1, size))
+    fleet.run(SETTLING_SECONDS)
     return fleet
 
 
 def _renewal_values(fleet: Fleet) -> dict[str, float]:
-    holder = fleet.holder()
-    assert holder is not None
+    holder = fleet.current_lease_holder()
     others = [router for router in range(fleet.size) if router != holder]
-    before, before_others = fleet.usage([holder], KINDS), fleet.usage(others, KINDS)
+    before = fleet.usage([holder], KINDS)
+    before_others = fleet.usage(others, KINDS)
     seconds = RENEWALS * RENEW * LEASE_SECONDS
     fleet.run(seconds)
-    used, used_others = fleet.usage([holder], KINDS) - before, fleet.usage(others, KINDS) - before_others
-    member_seconds = len(others) * seconds
+    used = fleet.usage([holder], KINDS) - before
+    used_others = fleet.usage(others, KINDS) - before_others
     return {
         "renewal_packets_sent": used.packets_sent / RENEWALS,
         "renewal_bytes_sent": used.bytes_sent / RENEWALS,
-        "holder_packets_per_s": used.packets_sent / seconds,
-        "holder_bytes_per_s": used.bytes_sent / seconds,
-        "holder_cpu_percent": used.cpu_ns / seconds / NANOSECONDS_PERCENT,
-        "member_packets_per_s": used_others.packets_sent / member_seconds,
-        "member_bytes_per_s": used_others.bytes_sent / member_seconds,
-        "member_cpu_percent": used_others.cpu_ns / member_seconds / NANOSECONDS_PERCENT,
+        **used.rates("holder", seconds),
+        **used_others.rates("member", len(others) * seconds),
     }
 
 
 def _takeover_values(fleet: Fleet) -> dict[str, float]:
-    """Kill one holder after another; each starts anew once there is a new one."""
-    times, packets, candidates = [], [], []
+    """Crash one lease holder after another; each restarts once there is a new holder."""
+    times: list[float] = []
+    packets: list[int] = []
+    candidates: list[int] = []
     for _ in range(TAKEOVERS):
-        failed = fleet.holder()
-        assert failed is not None
+        failed = fleet.current_lease_holder()
         others = [router for router in range(fleet.size) if router != failed]
         fleet.kill(failed)
         before = {router: fleet.usage([router], KINDS) for router in others}
-        times.append(fleet.run_until(lambda: fleet.holder() is not None, MOST_SECONDS))
+        times.append(fleet.run_until(lambda: fleet.lease_holder() is not None, MAX_SECONDS))
         sent = [(fleet.usage([router], KINDS) - before[router]).packets_sent for router in others]
         packets.append(sum(sent))
         candidates.append(sum(count >= len(others) for count in sent))
         fleet.start(failed)
-        fleet.run(1.5 * LEASE_SECONDS)
+        fleet.run(REJOIN_SECONDS)
     return {
         "takeover_s": median(times),
         "takeover_most_s": max(times),
@@ -84,20 +86,20 @@
 
 
 def _contention_values(fleet: Fleet) -> dict[str, float]:
-    """What goes on once the lease has a new holder: routers that lost may still ask all for their votes."""
+    """Traffic once the lease has a new holder: candidates that lost may still request all votes."""
     before = {router: fleet.usage([router], KINDS) for router in fleet.processes}
-    seconds = 2 * LEASE_SECONDS
-    fleet.run(seconds)
+    fleet.run(CONTENTION_SECONDS)
     used = {router: fleet.usage([router], KINDS) - earlier for router, earlier in before.items()}
-    holder = fleet.holder()
-    asking = [r for r, usage in used.items() if r != holder and usage.packets_sent >= 2 * fleet.size]
-    router_seconds = len(used) * seconds
+    holder = fleet.lease_holder()
+    contending = [
+        router
+        for router, usage in used.items()
+        if router != holder and usage.packets_sent >= CONTENDING_ROUNDS * fleet.size
+    ]
+    total = sum(used.values(), start=Usage())
+    most_bytes = max(usage.bytes_sent for usage in used.values())
     return {
-        "contention_routers": len(asking),
-        "contention_bytes_per_s": sum(usage.bytes_sent for usage in used.values()) / router_seconds,
-        "contention_packets_per_s": sum(usage.packets_sent for usage in used.values()) / router_seconds,
-        "contention_most_bytes_per_s": max(usage.bytes_sent for usage in used.values()) / seconds,
-        "contention_cpu_percent": sum(usage.cpu_ns for usage in used.values())
-        / router_seconds
-        / NANOSECONDS_PERCENT,
+        "contention_routers": len(contending),
+        **total.rates("contention", len(used) * CONTENTION_SECONDS),
+        "contention_most_bytes_per_s": most_bytes / CONTENTION_SECONDS,
     }
--- a/grebeproxy/lab/control/usage.py
+++ b/grebeproxy/lab/control/usage.py
@@ -8,6 +8,8 @@
 
 from grebeproxy.peers.node import DELTA, DIGEST, MEMBER, VOTE
 
+NANOSECONDS_PER_PERCENT = 1e7  # processor time in a second that is one percent of a core
+
 
 class Traffic(Enum):
     """The part of the control code that a datagram belongs to."""
@@ -43,13 +45,24 @@
         """What was used since an earlier reading."""
         return Usage(*(getattr(self, name) - getattr(earlier, name) for name in COUNTERS))
 
+    def rates(self, prefix: str, router_seconds: float) -> dict[str, float]:
+        """Packets and bytes sent a second, and CPU in percent of a core, as values named by a prefix.
+
+        ``router_seconds`` is the number of routers that are counted times the seconds that passed.
+        """
+        return {
+            f"{prefix}_packets_per_s": self.packets_sent / router_seconds,
+            f"{prefix}_bytes_per_s": self.bytes_sent / router_seconds,
+            f"{prefix}_cpu_percent": self.cpu_ns / router_seconds / NANOSECONDS_PER_PERCENT,
+        }
+
 
 COUNTERS = tuple(counter.name for counter in fields(Usage))
 
 
 @dataclass(slots=True)
 class Account:
-    """One router's usage, a counter set for each kind of traffic."""
+    """One router's usage, with a set of counters for each kind of traffic."""
 
     by_traffic: dict[Traffic, Usage] = field(default_factory=lambda: {kind: Usage() for kind in Traffic})
 
--- a/tests/test_lab_control.py
+++ b/tests/test_lab_control.py
@@ -11,7 +11,11 @@
 
 from grebeproxy.lab.__main__ import main
 from grebeproxy.lab.control import handover, lease, membership, memory, outage, replica
-from grebeproxy.lab.control.fleet import DUTY, KEY_NAME, Fleet, Network, NotReachedError, address, name, zone
+from grebeproxy.lab.control.addresses import address, name, zone
+from grebeproxy.lab.control.converged import KEY_NAME
+from grebeproxy.lab.control.errors import NotReachedError
+from grebeproxy.lab.control.fleet import DUTY, Fleet
+from grebeproxy.lab.control.model import Network
 from grebeproxy.lab.control.usage import TRAFFIC_OF_PAYLOAD, Traffic, Usage
 from grebeproxy.lab.record import load_record
 from grebeproxy.membership.model import Condition, Fact, Kind, Message, State
@@ -22,9 +26,9 @@
 SMALL = 24
 
 
-def acquainted(size: int = SMALL, seed: int = 1) -> Fleet:
+def converged(size: int = SMALL, seed: int = 1) -> Fleet:
     fleet = Fleet(size, seed)
-    fleet.start_acquainted()
+    fleet.start_converged()
     return fleet
 
 
@@ -44,12 +48,12 @@
 def test_routers_that_know_only_the_seeds_come_to_know_all() -> None:
     fleet = Fleet(SMALL, seed=1)
     fleet.start(*range(SMALL))
-    fleet.run_until(lambda: fleet.agree(range(SMALL)), 30.0)
+    fleet.run_until(lambda: fleet.has_converged(range(SMALL)), 30.0)
     assert len(fleet.members_seen_by(0)) == SMALL
 
 
-def test_an_acquainted_fleet_is_what_a_fleet_becomes_that_has_run_for_long() -> None:
-    grown, made = Fleet(SMALL, seed=1), acquainted()
+def test_a_converged_fleet_is_what_a_fleet_becomes_that_has_run_for_long() -> None:
+    grown, made = Fleet(SMALL, seed=1), converged()
     grown.start(*range(SMALL))
     grown.run(60.0)
     made.run(20.0)
@@ -58,7 +62,7 @@
         before = fleet.usage(range(SMALL))
         fleet.run(40.0)
         rates.append(fleet.usage(range(SMALL)) - before)
-    assert grown.agree(range(SMALL)) and made.agree(range(SMALL))
+    assert grown.has_converged(range(SMALL)) and made.has_converged(range(SMALL))
     assert rates[0].packets_sent == pytest.approx(rates[1].packets_sent, rel=0.03)
     assert rates[0].bytes_sent == pytest.approx(rates[1].bytes_sent, rel=0.03)
 
@@ -74,8 +78,8 @@
 
     monkeypatch.setattr(Sealed, "seal", counting)
     fleet = Fleet(SMALL, seed=1, limits=Limits(), duties=(DUTY,), key_bytes=16)
-    fleet.start_acquainted()
-    fleet.want_lease(0)
+    fleet.start_converged()
+    fleet.request_lease(0)
     fleet.run(5.0)
     used = fleet.usage(range(SMALL))
     assert (used.packets_sent, used.bytes_sent) == (len(sealed_lengths), sum(sealed_lengths))
@@ -84,7 +88,7 @@
 
 
 def test_all_that_is_sent_arrives_within_the_delay_or_is_lost() -> None:
-    fleet = acquainted()
+    fleet = converged()
     fleet.run(10.0)
     for process in fleet.processes.values():
         process.wake_at = float("inf")  # nothing more is begun
@@ -92,14 +96,14 @@
     used = fleet.usage(range(SMALL))
     assert (used.packets_received, used.bytes_received) == (used.packets_sent, used.bytes_sent)
     lossy = Fleet(SMALL, seed=1, network=Network(loss=0.2))
-    lossy.start_acquainted()
+    lossy.start_converged()
     lossy.run(30.0)
     lost = lossy.usage(range(SMALL))
     assert lost.packets_received / lost.packets_sent == pytest.approx(0.8, abs=0.03)
 
 
-def test_a_packet_that_is_late_by_more_than_the_window_is_refused_and_counted() -> None:
-    fleet = acquainted()
+def test_a_packet_that_is_late_by_more_than_the_window_is_rejected_and_counted() -> None:
+    fleet = converged()
     fleet._queue.clear()
     sender = fleet.processes[1]
     fleet._send(sender, address(0), ping(1, 0))
@@ -109,11 +113,11 @@
     before = fleet.usage([0]).packets_received
     for *_, packet in (first, late):
         fleet._deliver(fleet.processes[0], packet)
-    assert (fleet.usage([0]).packets_received - before, fleet.refused_packets) == (1, 1)
+    assert (fleet.usage([0]).packets_received - before, fleet.rejected_packets) == (1, 1)
 
 
 def test_the_same_seed_gives_the_same_run_and_another_one_does_not() -> None:
-    fleets = [acquainted(seed=seed) for seed in (7, 7, 8)]
+    fleets = [converged(seed=seed) for seed in (7, 7, 8)]
     for fleet in fleets:
         fleet.run(5.0)
         fleet.kill(3)
@@ -126,24 +130,24 @@
     assert fleets[0].failure_reports == fleets[1].failure_reports
 
 
-def test_a_zone_that_is_cut_off_is_a_minority_and_is_back_after_the_cut() -> None:
-    fleet = acquainted()
+def test_a_partitioned_zone_is_a_minority_and_rejoins_when_the_partition_heals() -> None:
+    fleet = converged()
     fleet.run(3.0)
-    rest = [router for router in range(SMALL) if zone(router) != 0]
-    fleet.separated = lambda sender, receiver: (zone(sender) == 0) != (zone(receiver) == 0)
-    fleet.run_until(lambda: fleet.agree(rest), 60.0)
-    cut_off = fleet.processes[0].node.view
-    assert cut_off.condition in (Condition.MINORITY, Condition.ALONE)
-    assert fleet.processes[rest[0]].node.view.quorate
-    assert {report.failed for report in fleet.failure_reports if report.reporter in rest} == {
+    remaining = [router for router in range(SMALL) if zone(router) != 0]
+    fleet.partitioned = lambda sender, receiver: (zone(sender) == 0) != (zone(receiver) == 0)
+    fleet.run_until(lambda: fleet.has_converged(remaining), 60.0)
+    partitioned = fleet.processes[0].node.view
+    assert partitioned.condition in (Condition.MINORITY, Condition.ALONE)
+    assert fleet.processes[remaining[0]].node.view.quorate
+    assert {report.failed for report in fleet.failure_reports if report.reporter in remaining} == {
         name(router) for router in range(SMALL) if zone(router) == 0
     }
-    fleet.separated = None
-    fleet.run_until(lambda: fleet.agree(range(SMALL)), 60.0)
+    fleet.partitioned = None
+    fleet.run_until(lambda: fleet.has_converged(range(SMALL)), 60.0)
 
 
-def test_what_does_not_come_about_is_an_error_with_the_time_that_it_was_given() -> None:
-    fleet = acquainted()
+def test_a_condition_that_is_not_reached_is_an_error_with_its_time_limit() -> None:
+    fleet = converged()
     began = fleet.now
     with pytest.raises(NotReachedError, match="not within 2 s with 24 routers"):
         fleet.run_until(lambda: False, 2.0)
@@ -159,7 +163,7 @@
     assert values.values["false_alarms"] == 0
     # Each fact has at least the name and the address of a member.
     assert values.values["join_received_bytes"] > (SMALL - 1) * len(name(0) + "10.0.0.0")
-    assert resident.sizes == {"members": SMALL * membership.MEMORY_TIMES}
+    assert resident.sizes == {"members": SMALL * memory.MEMORY_FACTOR}
     assert resident.values["memory_kb"] > 0
 
 
@@ -178,7 +182,7 @@
     assert 50.0 < point.values["failed_promised_percent"] <= 100.0
 
 
-def test_each_router_holds_the_keys_of_all_and_a_change_reaches_all() -> None:
+def test_each_router_stores_the_keys_of_all_and_a_change_reaches_all() -> None:
     point, resident = replica.measure(SMALL, seed=1)
     assert point.values["copies_held_percent"] == point.values["change_reached_percent"] == 100.0
     assert 0 < point.values["change_to_all_s"] < 10.0
@@ -188,23 +192,23 @@
 
 def test_published_keys_are_the_same_at_all_routers_from_the_start() -> None:
     fleet = Fleet(SMALL, seed=1, limits=Limits(), key_bytes=16)
-    fleet.start_acquainted()
+    fleet.start_converged()
     keys = [process.node.store.all(KEY_NAME) for process in fleet.processes.values()]
-    assert len(keys[0]) == SMALL and all(held == keys[0] for held in keys)
+    assert len(keys[0]) == SMALL and all(stored == keys[0] for stored in keys)
 
 
 def test_of_two_regions_apart_neither_acts_and_both_agree_again() -> None:
     [point] = outage.measure_regions(SMALL, seed=1)
     assert point.values["regions_parted_quorate_routers"] == 0
     for outcome in ("regions_parted_s", "regions_healed_s"):
-        assert 0 < point.values[outcome] < outage.MOST_SECONDS
+        assert 0 < point.values[outcome] < outage.MAX_SECONDS
 
 
 def test_outages_come_to_an_end_and_the_busiest_router_sends_no_less_than_the_mean() -> None:
     [restart], [cut] = outage.measure_restart(SMALL, seed=1), outage.measure_zone(SMALL, seed=1)
     values = {**restart.values, **cut.values}
     for outcome in ("all_restart", "rack_lost", "rack_returned", "zone_lost", "zone_returned"):
-        assert 0 < values[f"{outcome}_s"] < outage.MOST_SECONDS
+        assert 0 < values[f"{outcome}_s"] < outage.MAX_SECONDS
         assert values[f"{outcome}_most_bytes"] >= values[f"{outcome}_bytes"] > 0
 
 
@@ -224,7 +228,7 @@
     assert "members=24 quiet_packets_per_s=" in done.stdout
     record = load_record(path)
     assert (record.name, record.seed) == ("control-membership", 3)
-    assert [point.sizes["members"] for point in record.points] == [24, 24 * membership.MEMORY_TIMES]
+    assert [point.sizes["members"] for point in record.points] == [24, 24 * memory.MEMORY_FACTOR]
 
 
 @pytest.mark.parametrize(
@@ -239,7 +243,7 @@
         ("lease", "--unknown"),
     ],
 )
-def test_bad_arguments_are_told_in_one_line(arguments: tuple[str, ...]) -> None:
+def test_bad_arguments_are_reported_on_one_line(arguments: tuple[str, ...]) -> None:
     done = CliRunner().invoke(main, ["control", *arguments])
     assert done.exit_code == 2
     assert done.stderr.startswith("Error: ") and done.stderr.count("\n") == 1
