--- a/grebeproxy/lab/capacity/bounds.py
+++ b/grebeproxy/lab/capacity/bounds.py
@@ -1,17 +1,16 @@
-"""Bounds in the code that contradict the target, compared with the code as it is."""
+"""Compares the declared bounds with the code."""
 
 from __future__ import annotations
 
 from importlib import import_module
 from importlib.util import find_spec
 from pathlib import Path
-from typing import Any
 
 from grebeproxy.lab.capacity.rows import Bound
 
 
 def problems_of(bound: Bound) -> list[str]:
-    """Where a listed bound differs from the code."""
+    """How a declared bound differs from the code; empty where it does not."""
     where = f"bound {bound.module}.{bound.name or bound.line}"
     file = module_file(bound.module)
     if file is None:
@@ -25,12 +24,13 @@
     return [] if actual == bound.value else [f"{where}: the page says {bound.value}, the code {actual}"]
 
 
-def current_value(bound: Bound) -> Any:
+def current_value(bound: Bound) -> object:
     """The value in the code: of a module's constant, or a dataclass field's default (``Class.field``)."""
-    found = getattr(import_module(bound.module), bound.name.partition(".")[0])
-    if "." not in bound.name:
-        return found
-    return found.__dataclass_fields__[bound.name.partition(".")[2]].default
+    name, _, field = bound.name.partition(".")
+    constant = getattr(import_module(bound.module), name)
+    if not field:
+        return constant
+    return constant.__dataclass_fields__[field].default
 
 
 def module_file(module: str) -> Path | None:
--- a/grebeproxy/lab/capacity/command.py
+++ b/grebeproxy/lab/capacity/command.py
@@ -6,7 +6,8 @@
 
 import click
 
-from grebeproxy.lab.capacity.page import Page, PageError
+from grebeproxy.lab.capacity.errors import PageError
+from grebeproxy.lab.capacity.page import Page
 
 DOCS = Path(__file__).resolve().parents[3] / "docs"
 
--- a/grebeproxy/lab/capacity/fit.py
+++ b/grebeproxy/lab/capacity/fit.py
@@ -1,24 +1,23 @@
-"""Least-squares fits of measured points, and how far they are carried beyond them.
+"""Least-squares fits of measured points, and how far beyond them they are extrapolated.
 
-The squares are those of relative errors: sizes span decades, and with absolute errors the largest alone would
-decide.
+The squares are those of relative errors: sizes span decades, and with absolute errors the largest size alone
+would determine the fit.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from enum import Enum
+from typing import NamedTuple
 
 import numpy as np
 from numpy.typing import NDArray
 
-Vector = NDArray[np.float64]
-ROUNDING = 1e-9  # part of the largest value below which an intercept is an error of rounding
-
+from grebeproxy.lab.capacity.errors import FitError
 
-class FitError(Exception):
-    """Points that the chosen model cannot be fitted to."""
+Vector = NDArray[np.float64]
+ROUNDING_ERROR = 1e-9  # an intercept below this fraction of the largest value counts as zero
 
 
 class Model(Enum):
@@ -37,6 +36,14 @@
 NEEDS_SIZES_ABOVE_ZERO = (Model.LOG, Model.N_LOG_N, Model.INVERSE)
 
 
+class Curve(NamedTuple):
+    """Coefficients of a fitted model: see ``Fit``."""
+
+    intercept: float
+    slope: float
+    exponent: float = 1.0
+
+
 @dataclass(frozen=True, slots=True)
 class Fit:
     """A fitted model.
@@ -60,8 +67,8 @@
             return self.intercept
         return float(self.intercept + self.slope * _FUNCTIONS[self.model](np.array([size]))[0])
 
-    def beyond(self, size: float) -> float:
-        """How many times the largest measured size a size is."""
+    def extrapolation(self, size: float) -> float:
+        """A size as a multiple of the largest measured size."""
         return size / max(self.sizes)
 
 
@@ -69,17 +76,14 @@
     """Fit a model by least squares. Raises ``FitError``."""
     if len(sizes) != len(values) or not sizes:
         raise FitError("there are no points to fit")
-    x, y = np.array(sizes, dtype=np.float64), np.array(values, dtype=np.float64)
-    if model is Model.POWER:
-        intercept, slope, exponent = 0.0, *_power(x, y)
-    else:
-        intercept, slope = _least_squares(model, x, y)
-        exponent = 1.0
-    unrated = Fit(model, intercept, slope, exponent, 0.0, tuple(sizes))
-    return Fit(model, intercept, slope, exponent, _relative_rms(unrated, x, y), tuple(sizes))
+    x = np.array(sizes, dtype=np.float64)
+    y = np.array(values, dtype=np.float64)
+    curve = _power(x, y) if model is Model.POWER else _least_squares(model, x, y)
+    fitted = Fit(model, curve.intercept, curve.slope, curve.exponent, 0.0, tuple(sizes))
+    return replace(fitted, residual=_relative_rms(fitted, x, y))
 
 
-def _itself(x: Vector) -> Vector:
+def _identity(x: Vector) -> Vector:
     return x
 
 
@@ -102,8 +106,8 @@
 
 
 _FUNCTIONS: dict[Model, Callable[[Vector], Vector]] = {
-    Model.LINEAR: _itself,
-    Model.AFFINE: _itself,
+    Model.LINEAR: _identity,
+    Model.AFFINE: _identity,
     Model.LOG: _log,
     Model.N_LOG_N: _n_log_n,
     Model.SQUARE: _square,
@@ -111,21 +115,21 @@
 }
 
 
-def _least_squares(model: Model, x: Vector, y: Vector) -> tuple[float, float]:
-    """Intercept and slope with the least relative errors; one of them is zero where the model has none."""
+def _least_squares(model: Model, x: Vector, y: Vector) -> Curve:
+    """Coefficients with the least relative errors; those that the model lacks are zero."""
     if model in NEEDS_SIZES_ABOVE_ZERO and (x <= 0).any():
         raise FitError(f"{model.value} needs sizes above zero")
     ones = np.ones_like(x)
     if model is Model.CONSTANT:
         (intercept,) = _weighted(ones[:, None], y)
-        return float(intercept), 0.0
+        return Curve(float(intercept), 0.0)
     column = _FUNCTIONS[model](x)
     if model is Model.LINEAR:
         (slope,) = _weighted(column[:, None], y)
-        return 0.0, float(slope)
+        return Curve(0.0, float(slope))
     intercept, slope = _weighted(np.column_stack([ones, column]), y)
-    nothing = abs(intercept) < ROUNDING * np.abs(y).max()
-    return (0.0 if nothing else float(intercept)), float(slope)
+    negligible = abs(intercept) < ROUNDING_ERROR * np.abs(y).max()
+    return Curve(0.0 if negligible else float(intercept), float(slope))
 
 
 def _weighted(columns: Vector, y: Vector) -> Vector:
@@ -136,16 +140,16 @@
 
 
 def _scale(y: Vector) -> Vector:
-    """What errors are relative to: each value, or one where it is zero."""
+    """What errors are relative to: the absolute value of each point, or one where that is zero."""
     return np.where(y == 0, 1.0, np.abs(y))
 
 
-def _power(x: Vector, y: Vector) -> tuple[float, float]:
-    """Factor and exponent, fitted on logarithms."""
+def _power(x: Vector, y: Vector) -> Curve:
+    """A power law, fitted on logarithms."""
     if (x <= 0).any() or (y <= 0).any():
         raise FitError("a power needs sizes and values above zero")
-    exponent, intercept = np.polyfit(np.log(x), np.log(y), 1)
-    return float(np.exp(intercept)), float(exponent)
+    exponent, log_factor = np.polyfit(np.log(x), np.log(y), 1)
+    return Curve(0.0, float(np.exp(log_factor)), float(exponent))
 
 
 def _relative_rms(fitted: Fit, x: Vector, y: Vector) -> float:
--- a/grebeproxy/lab/capacity/numbers.py
+++ b/grebeproxy/lab/capacity/numbers.py
@@ -4,28 +4,30 @@
 
 import math
 
-SIGNIFICANT = 3
+SIGNIFICANT_DIGITS = 3
+MAX_WHOLE = 1e15  # whole numbers below it are exact as floats, and written with all their digits
+PERCENT = 100
 
 
-def shown(value: float) -> str:
-    """A number with three significant digits, or all digits of a whole part that is longer."""
+def format_number(value: float) -> str:
+    """A number with three significant digits, or with all digits of a whole number."""
     if math.isinf(value):
         return "without bound"
     if value == 0:
         return "0"
-    if float(value).is_integer() and abs(value) < 1e15:
+    if float(value).is_integer() and abs(value) < MAX_WHOLE:
         return f"{int(value):,}"
-    decimals = SIGNIFICANT - 1 - math.floor(math.log10(abs(value)))
+    decimals = SIGNIFICANT_DIGITS - 1 - math.floor(math.log10(abs(value)))
     rounded = round(value, decimals)
     text = f"{rounded:,.{max(0, decimals)}f}"
     return text.rstrip("0").rstrip(".") if "." in text else text
 
 
-def with_unit(value: float, unit: str) -> str:
-    """A number and its unit."""
-    return f"{shown(value)} {unit}".rstrip()
+def format_with_unit(value: float, unit: str) -> str:
+    """A number and its unit, which may be empty."""
+    return f"{format_number(value)} {unit}".rstrip()
 
 
-def percent(value: float) -> str:
-    """A share as a percentage."""
-    return f"{value * 100:.1f}%"
+def format_percent(fraction: float) -> str:
+    """A fraction as a percentage."""
+    return f"{fraction * PERCENT:.1f}%"
--- a/grebeproxy/lab/capacity/page.py
+++ b/grebeproxy/lab/capacity/page.py
@@ -13,41 +13,25 @@
 
 from __future__ import annotations
 
-import re
 from collections.abc import Callable
 from dataclasses import dataclass
 from difflib import unified_diff
 from functools import cached_property
-from importlib.util import find_spec
 from pathlib import Path
 
-from grebeproxy.lab.capacity import tables
+from grebeproxy.lab.capacity import checks, tables
 from grebeproxy.lab.capacity.bounds import problems_of
-from grebeproxy.lab.capacity.figures import Figure, FigureError, Figures, evidence_problems, ranking
-from grebeproxy.lab.capacity.numbers import percent, shown, with_unit
-from grebeproxy.lab.capacity.rows import (
-    ROLES,
-    Bound,
-    DeclarationError,
-    Number,
-    Row,
-    Stage,
-    load_bounds,
-    load_rows,
-    load_targets,
-)
+from grebeproxy.lab.capacity.declarations import load_bounds, load_rows, load_targets
+from grebeproxy.lab.capacity.errors import DeclarationError, FigureError, PageError
+from grebeproxy.lab.capacity.figures import Figure, Figures, ranking
+from grebeproxy.lab.capacity.numbers import format_number, format_percent, format_with_unit
+from grebeproxy.lab.capacity.placeholders import PLACEHOLDER, Placeholder
+from grebeproxy.lab.capacity.rows import ROLES, Bound, Number, Row, Stage
 from grebeproxy.lab.record import Record, RecordError, load_record
 
 PAGE = "CAPACITY.md"
 FOLDER = "capacity"
 TEMPLATE = "page.md"
-PLACEHOLDER = re.compile(r"\{\{([^{}]+)\}\}")
-WITHOUT_FIGURES = re.compile(r"\{\{[^{}]+\}\}|`[^`]*`")  # of the template: the rest may hold no digit
-MODULE = re.compile(r"`(grebeproxy(?:\.\w+)+)`")
-
-
-class PageError(Exception):
-    """A page that cannot be rendered; the text names the placeholder or the declaration."""
 
 
 @dataclass(frozen=True)
@@ -78,7 +62,7 @@
 
     @cached_property
     def figures(self) -> Figures:
-        """The rows' values at the target."""
+        """The rows' figures at the target."""
         return Figures(self.rows, self.targets, self.folder)
 
     def render(self) -> str:
@@ -89,15 +73,20 @@
             raise PageError(str(error)) from None
 
     def problems(self) -> list[str]:
-        """What is wrong with the declarations and the evidence, whatever the page says."""
+        """Problems of the declarations and of the evidence, whatever the written page says."""
         try:
-            told = [*self._template_problems(), *self._row_problems(), *self._unused_roles()]
-            return told + [problem for bound in self.bounds for problem in problems_of(bound)]
+            template = (self.folder / TEMPLATE).read_text()
+            return [
+                *checks.template_problems(self.folder, TEMPLATE),
+                *checks.row_problems(self.rows, self.figures),
+                *checks.unused_roles(self.rows, template),
+                *(problem for bound in self.bounds for problem in problems_of(bound)),
+            ]
         except (OSError, DeclarationError) as error:
             return [str(error)]
 
     def differences(self) -> list[str]:
-        """Where the written page differs from what the records give, line by line. Raises ``PageError``."""
+        """A line diff of the written page and what the records give. Raises ``PageError``."""
         path = self.docs / PAGE
         written = path.read_text().splitlines() if path.exists() else []
         rendered = self.render().splitlines()
@@ -110,10 +99,10 @@
     def _filled(self, text: str) -> str:
         return PLACEHOLDER.sub(lambda match: self._replacement(match[1].strip()), text)
 
-    def _replacement(self, placeholder: str) -> str:
-        kind, _, name = placeholder.partition(":")
+    def _replacement(self, content: str) -> str:
+        placeholder = Placeholder.parse(content)
         renderers: dict[str, Callable[[str], str]] = {
-            "target": lambda name: shown(self._target(name)),
+            "target": lambda name: format_number(self._target(name)),
             "figure": self._figure_text,
             "table": self._role_tables,
             "ranking": lambda stage: tables.ranking_table(self._ranked(stage)),
@@ -121,11 +110,11 @@
             "bounds": lambda _: tables.bounds_table(self.bounds, self.figures),
             "records": lambda _: tables.records_table(self._records()),
             "include": self._included,
-            "optional": self._included_if_there,
+            "optional": self._included_if_present,
         }
-        if kind not in renderers:
-            raise PageError(f"{{{{{placeholder}}}}}: not known")
-        return renderers[kind](name)
+        if placeholder.kind not in renderers:
+            raise PageError(f"{{{{{content}}}}}: not known")
+        return renderers[placeholder.kind](placeholder.name)
 
     def _target(self, name: str) -> Number:
         if name not in self.targets:
@@ -137,19 +126,19 @@
         figure = self.figures.of(row_id)
         fitted = figure.fit
         if field == "value":
-            return with_unit(figure.value, figure.row.unit)
+            return format_with_unit(figure.value, figure.row.unit)
         if field == "budget" and figure.budget is not None:
-            return with_unit(figure.budget, figure.row.unit)
+            return format_with_unit(figure.budget, figure.row.unit)
         if field == "times" and figure.times_budget is not None:
-            return shown(figure.times_budget)
+            return format_number(figure.times_budget)
         if field == "measured" and figure.measured is not None:
-            return with_unit(figure.measured, figure.row.unit)
+            return format_with_unit(figure.measured, figure.row.unit)
         if field == "slope" and fitted is not None:
-            return with_unit(fitted.slope, figure.row.metric_unit or figure.row.unit)
+            return format_with_unit(fitted.slope, figure.row.metric_unit or figure.row.unit)
         if field == "residual" and fitted is not None:
-            return percent(fitted.residual)
+            return format_percent(fitted.residual)
         if field == "beyond" and fitted is not None:
-            return shown(fitted.beyond(figure.target))
+            return format_number(fitted.extrapolation(figure.target))
         raise PageError(f"{{{{figure:{name}}}}}: the row has no {field}")
 
     def _role_tables(self, role: str) -> str:
@@ -170,52 +159,5 @@
     def _included(self, file: str) -> str:
         return self._filled((self.folder / file).read_text()).rstrip("\n")
 
-    def _included_if_there(self, file: str) -> str:
+    def _included_if_present(self, file: str) -> str:
         return self._included(file) if (self.folder / file).exists() else "Not written yet."
-
-    def _template_problems(self) -> list[str]:
-        """Figures typed into the template, or the tables of what it includes: they follow from no record."""
-        template = (self.folder / TEMPLATE).read_text()
-        problems = _typed_figures(TEMPLATE, template.splitlines())
-        for placeholder in PLACEHOLDER.findall(template):
-            kind, _, file = placeholder.strip().partition(":")
-            if kind in ("include", "optional") and (self.folder / file).exists():
-                lines = (self.folder / file).read_text().splitlines()
-                problems += _typed_figures(file, [line if line.startswith("|") else "" for line in lines])
-        return problems
-
-    def _row_problems(self) -> list[str]:
-        problems: list[str] = []
-        for row in self.rows:
-            for module in MODULE.findall(row.mechanism):
-                if not _is_module(module):
-                    problems.append(f"{row.id}: its mechanism names {module}, which is no module")
-            try:
-                problems += evidence_problems(self.figures.of(row.id))
-            except FigureError as error:
-                problems.append(str(error))
-        return problems
-
-    def _unused_roles(self) -> list[str]:
-        template = (self.folder / TEMPLATE).read_text()
-        roles = sorted({row.role for row in self.rows})
-        return [
-            f"no table of the page shows the role {role}"
-            for role in roles
-            if f"table:{role}}}" not in template
-        ]
-
-
-def _typed_figures(file: str, lines: list[str]) -> list[str]:
-    return [
-        f"{file}:{number}: a figure that follows from nothing: {line.strip()}"
-        for number, line in enumerate(lines, 1)
-        if re.search(r"\d", WITHOUT_FIGURES.sub("", line))
-    ]
-
-
-def _is_module(name: str) -> bool:
-    try:
-        return find_spec(name) is not None
-    except ModuleNotFoundError:
-        return False
--- a/grebeproxy/lab/capacity/rows.py
+++ b/grebeproxy/lab/capacity/rows.py
@@ -1,17 +1,13 @@
-"""Rows of the capacity page, the fleet's targets and the bounds in the code, as declared in TOML files.
+"""Rows of the capacity page and bounds in the code, as typed values.
 
-``docs/capacity/rows/*.toml`` hold ``[[row]]`` tables, ``docs/capacity/targets.toml`` named numbers, and
-``docs/capacity/bounds/*.toml`` ``[[bound]]`` tables. ``docs/capacity/README.md`` describes each field.
+The fields have the names of the keys in the TOML declarations; ``docs/capacity/README.md`` describes them.
 """
 
 from __future__ import annotations
 
-import tomllib
 from collections.abc import Mapping
-from dataclasses import MISSING, dataclass, field, fields
+from dataclasses import dataclass, field
 from enum import Enum
-from pathlib import Path
-from typing import Any, TypeVar
 
 from grebeproxy.lab.capacity.fit import Model
 
@@ -28,15 +24,11 @@
 )
 
 Number = int | float
-NumberOrName = int | float | str  # a name is looked up among the targets, or the rows
-
-
-class DeclarationError(Exception):
-    """A declaration that cannot be used; the text begins with the file's name."""
+NumberOrName = int | float | str  # a name refers to a target or a row
 
 
 class Stage(Enum):
-    """Whether a row holds only before, only after the mechanism that the ranking chose, or at both times."""
+    """Whether a row holds only before, only with, or both before and with the mechanism that was chosen."""
 
     BOTH = "both"
     BEFORE = "before"
@@ -44,7 +36,7 @@
 
 
 class RequestPath(Enum):
-    """What waits for the thing that a row measures."""
+    """What waits for the work that a row measures."""
 
     STATEMENT = "statement"
     CONTROL = "control"
@@ -71,9 +63,9 @@
     axis: str = ""
     axis_unit: str = ""
     where: Mapping[str, Number] = field(default_factory=dict)
-    from_size: Number = 0  # smaller points are left out; ``why`` says why
+    from_size: Number = 0  # points of smaller sizes are left out
     fit: Model = Model.AFFINE
-    why: str = ""
+    why: str = ""  # reason for ``from_size`` and for a fit that is no straight line
     metric_unit: str = ""
     target: NumberOrName = 0
     factor: Number = 1
@@ -85,15 +77,15 @@
     sum: tuple[str, ...] = ()
     product: tuple[NumberOrName, ...] = ()
     over: tuple[NumberOrName, ...] = ()
-    because: str = ""
-    short: str = ""
-    without: str = ""
-    needs: str = ""
+    because: str = ""  # reason for a sum or a product
+    short: str = ""  # reason why the largest measured size is far below the target
+    without: str = ""  # what happens while the mechanism is missing
+    needs: str = ""  # the mechanism that a row over its budget would need
     stage: Stage = Stage.BOTH
 
     @property
     def size_name(self) -> str:
-        """What sizes are counted in."""
+        """The unit that sizes are counted in."""
         return self.axis_unit or self.axis
 
     @property
@@ -104,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """A bound in the code that contradicts the target.
+    """A bound in the code that contradicts the target; ``text`` states the consequence.
 
     Either ``module`` and ``name`` (``CONSTANT`` or ``Class.field``) have ``value``, or the file of the
     module contains ``line``.
@@ -117,81 +109,3 @@
     line: str = ""
     needs: NumberOrName | None = None
     unit: str = ""
-
-
-Declared = TypeVar("Declared", Row, Bound)
-
-
-def load_rows(folder: Path) -> list[Row]:
-    """All rows, by file and in the file's order. Raises ``DeclarationError``."""
-    rows: list[Row] = []
-    for path in sorted(folder.glob("*.toml")):
-        rows += [_declared(Row, _converted(path, told), path) for told in _tables(path, "row")]
-    seen: set[str] = set()
-    for row in rows:
-        if row.id in seen:
-            raise DeclarationError(f"rows: {row.id}: declared twice")
-        if row.role not in ROLES:
-            raise DeclarationError(f"rows: {row.id}: {row.role} is no role")
-        seen.add(row.id)
-    return rows
-
-
-def load_bounds(folder: Path) -> list[Bound]:
-    """All bounds that contradict the target. Raises ``DeclarationError``."""
-    bounds: list[Bound] = []
-    for path in sorted(folder.glob("*.toml")):
-        bounds += [_declared(Bound, told, path) for told in _tables(path, "bound")]
-    return bounds
-
-
-def load_targets(path: Path) -> dict[str, Number]:
-    """The fleet's target figures by name. Raises ``DeclarationError``."""
-    targets = _read(path)
-    for name, value in targets.items():
-        if isinstance(value, bool) or not isinstance(value, int | float):
-            raise DeclarationError(f"{path.name}: {name}: must be a number")
-    return targets
-
-
-def _read(path: Path) -> dict[str, Any]:
-    try:
-        return tomllib.loads(path.read_text())
-    except (OSError, tomllib.TOMLDecodeError) as error:
-        raise DeclarationError(f"{path.name}: {error}") from None
-
-
-def _tables(path: Path, name: str) -> list[dict[str, Any]]:
-    tables = _read(path).get(name, [])
-    if not isinstance(tables, list):
-        raise DeclarationError(f"{path.name}: {name}: must be an array of tables")
-    return tables
-
-
-def _converted(path: Path, told: dict[str, Any]) -> dict[str, Any]:
-    """The fields of a row as Python's types."""
-    converted = dict(told)
-    try:
-        if "path" in told:
-            converted["path"] = RequestPath(told["path"])
-        if "fit" in told:
-            converted["fit"] = Model(told["fit"])
-        if "stage" in told:
-            converted["stage"] = Stage(told["stage"])
-    except ValueError as error:
-        raise DeclarationError(f"{path.name}: {told.get('id', '?')}: {error}") from None
-    for name in ("sum", "product", "over"):
-        if name in told:
-            converted[name] = tuple(told[name])
-    return converted
-
-
-def _declared(kind: type[Declared], told: dict[str, Any], path: Path) -> Declared:
-    where = f"{path.name}: {told.get('id') or told.get('name') or '?'}"
-    known = {f.name for f in fields(kind)}
-    needed = {f.name for f in fields(kind) if f.default is MISSING and f.default_factory is MISSING}
-    if unknown := sorted(told.keys() - known):
-        raise DeclarationError(f"{where}: not known: {', '.join(unknown)}")
-    if missing := sorted(needed - told.keys()):
-        raise DeclarationError(f"{where}: missing: {', '.join(missing)}")
-    return kind(**told)
--- a/grebeproxy/lab/capacity/tables.py
+++ b/grebeproxy/lab/capacity/tables.py
@@ -6,7 +6,7 @@
 
 from grebeproxy.lab.capacity.figures import Figure, Figures
 from grebeproxy.lab.capacity.fit import Fit, Model
-from grebeproxy.lab.capacity.numbers import percent, shown, with_unit
+from grebeproxy.lab.capacity.numbers import format_number, format_percent, format_with_unit
 from grebeproxy.lab.capacity.rows import Bound, NumberOrName, Row, Stage
 from grebeproxy.lab.record import Record
 
@@ -29,23 +29,23 @@
 
 
 def role_table(figures: Sequence[Figure]) -> str:
-    """What each row of a role takes at the target, beside its budget and what carries it."""
+    """What each row of a role needs at the target, its budget and its mechanism."""
     head = ("what", "row", "at the target", "budget", "times budget", "fits", "mechanism")
     return table(head, (_verdict(figure) for figure in figures))
 
 
 def _verdict(figure: Figure) -> tuple[str, ...]:
     row = figure.row
-    value = with_unit(figure.value, row.unit)
+    value = format_with_unit(figure.value, row.unit)
     if figure.measured is not None:
-        value += f" (measured {with_unit(figure.measured, row.unit)})"
+        value += f" (measured {format_with_unit(figure.measured, row.unit)})"
     if row.assumption:
         value += " (assumption)"
     mechanism = f"**missing**: {row.without}" if row.without else row.mechanism
-    return (row.what, title(row), value, _budget(figure), _times(figure), _fits(figure), mechanism)
+    return (row.what, _title(row), value, _budget(figure), _times(figure), _fits(figure), mechanism)
 
 
-def title(row: Row) -> str:
+def _title(row: Row) -> str:
     """A row's title and the stage that it holds for."""
     return row.title + STAGES[row.stage]
 
@@ -53,11 +53,11 @@
 def _budget(figure: Figure) -> str:
     if figure.budget is None:
         return "none set"
-    return f"{with_unit(figure.budget, figure.row.unit)}: {figure.row.budget_source}"
+    return f"{format_with_unit(figure.budget, figure.row.unit)}: {figure.row.budget_source}"
 
 
 def _times(figure: Figure) -> str:
-    return "-" if figure.times_budget is None else shown(figure.times_budget)
+    return "-" if figure.times_budget is None else format_number(figure.times_budget)
 
 
 def _fits(figure: Figure) -> str:
@@ -75,48 +75,58 @@
 def _evidence(figure: Figure) -> tuple[str, ...]:
     row = figure.row
     if figure.fit is None:
-        return (title(row), _origin(row), "-", row.because or "-", "-", "-")
-    sizes = ", ".join(shown(size) for size in sorted(set(figure.fit.sizes)))
-    where = "".join(f", at {shown(value)} {name}" for name, value in row.where.items())
+        return (_title(row), _origin(row), "-", row.because or "-", "-", "-")
+    sizes = ", ".join(format_number(size) for size in sorted(set(figure.fit.sizes)))
+    where = "".join(f", at {format_number(value)} {name}" for name, value in row.where.items())
     measured = f"{sizes} {row.size_name}{where}" + (f" ({row.short})" if row.short else "")
     source = f"`{row.record}`, `{row.metric}`" + (f"; {row.assumption}" if row.assumption else "")
-    carried = f"to {shown(figure.target)} {row.size_name}, {_beyond(figure, figure.fit)}"
-    return (title(row), source, measured, fit_text(row, figure.fit), percent(figure.fit.residual), carried)
+    target = f"to {format_number(figure.target)} {row.size_name}, {_extrapolation(figure, figure.fit)}"
+    return (
+        _title(row),
+        source,
+        measured,
+        fit_text(row, figure.fit),
+        format_percent(figure.fit.residual),
+        target,
+    )
 
 
-def _beyond(figure: Figure, fitted: Fit) -> str:
+def _extrapolation(figure: Figure, fitted: Fit) -> str:
     if figure.measured is not None:
         return "measured there"
-    times = fitted.beyond(figure.target)
-    return "within what was measured" if times <= 1 else f"{shown(times)} times the largest"
+    times = fitted.extrapolation(figure.target)
+    return "within what was measured" if times <= 1 else f"{format_number(times)} times the largest"
 
 
 def _origin(row: Row) -> str:
     if row.sum:
         return "sum of " + ", ".join(f"`{part}`" for part in row.sum)
     if row.product:
-        text = " x ".join(_part(part) for part in row.product)
-        return text + "".join(f" / {_part(part)}" for part in row.over)
+        text = " x ".join(_reference(part) for part in row.product)
+        return text + "".join(f" / {_reference(part)}" for part in row.over)
     return f"assumption: {row.assumption}"
 
 
-def _part(part: NumberOrName) -> str:
-    return f"`{part}`" if isinstance(part, str) else shown(part)
+def _reference(reference: NumberOrName) -> str:
+    return f"`{reference}`" if isinstance(reference, str) else format_number(reference)
 
 
 def fit_text(row: Row, fitted: Fit) -> str:
-    """The fitted formula with units, what it is multiplied by, and why where it is not a straight line."""
+    """The fitted formula with units, its factor, and the reason for a fit that is no straight line."""
     unit = row.metric_unit or row.unit
     if fitted.model is Model.CONSTANT:
-        text = f"{with_unit(fitted.intercept, unit)}, the same at all sizes"
+        text = f"{format_with_unit(fitted.intercept, unit)}, the same at all sizes"
     elif fitted.model is Model.POWER:
-        text = f"{with_unit(fitted.slope, unit)} x {row.size_name} to the power of {shown(fitted.exponent)}"
+        power = f"{row.size_name} to the power of {format_number(fitted.exponent)}"
+        text = f"{format_with_unit(fitted.slope, unit)} x {power}"
     else:
         function = FUNCTIONS[fitted.model].format(axis=row.size_name)
-        start = f"{with_unit(fitted.intercept, unit)} + " if fitted.intercept else ""
-        text = f"{start}{with_unit(fitted.slope, unit)} x {function}"
+        start = f"{format_with_unit(fitted.intercept, unit)} + " if fitted.intercept else ""
+        text = f"{start}{format_with_unit(fitted.slope, unit)} x {function}"
     if row.factor != 1:
-        text = f"({text}) x {shown(row.factor)}" + (f" ({row.factor_note})" if row.factor_note else "")
+        text = f"({text}) x {format_number(row.factor)}" + (
+            f" ({row.factor_note})" if row.factor_note else ""
+        )
     return text + (f"; {row.why}" if row.why else "")
 
 
@@ -135,8 +145,8 @@
         str(rank),
         f"{row.title} (`{row.id}`)",
         PATHS[row.path.value],
-        with_unit(figure.value, row.unit),
-        with_unit(figure.budget, row.unit),
+        format_with_unit(figure.value, row.unit),
+        format_with_unit(figure.budget, row.unit),
         _times(figure),
         row.needs or "-",
     )
@@ -147,11 +157,11 @@
     if not ranked:
         return "Nothing is over its budget, so nothing is chosen."
     first = ranked[0]
-    carrier = f" What would carry it: {first.row.needs}." if first.row.needs else ""
+    mechanism = f" What would carry it: {first.row.needs}." if first.row.needs else ""
     return (
         f"First by the rule is **{first.row.title}** (`{first.row.id}`), "
-        f"{with_unit(first.value, first.row.unit)} or {_times(first)} times its budget, "
-        f"in the path of {PATHS[first.row.path.value]}.{carrier}"
+        f"{format_with_unit(first.value, first.row.unit)} or {_times(first)} times its budget, "
+        f"in the path of {PATHS[first.row.path.value]}.{mechanism}"
     )
 
 
@@ -163,8 +173,10 @@
 
 def _bound(bound: Bound, figures: Figures) -> tuple[str, ...]:
     file = bound.module.replace(".", "/") + ".py"
-    value = "-" if bound.value is None else with_unit(bound.value, bound.unit)
-    needs = "-" if bound.needs is None else with_unit(figures.number(bound.name, bound.needs), bound.unit)
+    value = "-" if bound.value is None else format_with_unit(bound.value, bound.unit)
+    needs = (
+        "-" if bound.needs is None else format_with_unit(figures.number(bound.name, bound.needs), bound.unit)
+    )
     return (f"`{file}`", f"`{bound.name or bound.line}`", value, needs, bound.text)
 
 
--- a/grebeproxy/lab/record.py
+++ b/grebeproxy/lab/record.py
@@ -12,17 +12,47 @@
 from dataclasses import asdict, dataclass
 from datetime import UTC, datetime
 from pathlib import Path
-from typing import Any
+from typing import NotRequired, TypedDict
 
 import orjson
 
+from grebeproxy.errors import GrebeproxyError
+
 MEBIBYTE = 1024 * 1024
 
 
-class RecordError(Exception):
+class RecordError(GrebeproxyError):
     """A record that cannot be read; the text begins with the file's name."""
 
 
+class MachineFields(TypedDict):
+    """A machine as it is stored."""
+
+    cores: int
+    memory_mb: int
+    python: str
+
+
+class PointFields(TypedDict):
+    """A point as it is stored."""
+
+    sizes: dict[str, float]
+    values: dict[str, float]
+
+
+class RecordFields(TypedDict):
+    """A record as it is stored; records from before there were notes lack theirs."""
+
+    name: str
+    command: str
+    commit: str
+    recorded_at: str
+    machine: MachineFields
+    seed: int
+    points: list[PointFields]
+    note: NotRequired[str]
+
+
 @dataclass(frozen=True, slots=True)
 class Machine:
     """The machine that a measurement ran on."""
@@ -74,9 +104,9 @@
 def load_record(path: Path) -> Record:
     """Read a record. Raises ``RecordError``."""
     try:
-        fields: dict[str, Any] = orjson.loads(path.read_bytes())
-        points = tuple(Point(point["sizes"], point["values"]) for point in fields.pop("points"))
-        return Record(**{**fields, "machine": Machine(**fields["machine"]), "points": points})
+        fields: RecordFields = orjson.loads(path.read_bytes())
+        points = tuple(Point(point["sizes"], point["values"]) for point in fields["points"])
+        return Record(**{**fields, "machine": Machine(**fields["machine"]), "points": points})  # type: ignore[arg-type]
     except (OSError, orjson.JSONDecodeError, KeyError, TypeError) as error:
         raise RecordError(f"{path.name}: {error}") from None
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -15,11 +15,13 @@
 
 from grebeproxy.lab.__main__ import main
 from grebeproxy.lab.capacity.bounds import problems_of
-from grebeproxy.lab.capacity.figures import FigureError, Figures, evidence_problems, ranking
-from grebeproxy.lab.capacity.fit import FitError, Model, fit
-from grebeproxy.lab.capacity.numbers import shown
+from grebeproxy.lab.capacity.declarations import load_rows
+from grebeproxy.lab.capacity.errors import DeclarationError, FigureError, FitError
+from grebeproxy.lab.capacity.figures import Figures, evidence_problems, ranking
+from grebeproxy.lab.capacity.fit import Model, fit
+from grebeproxy.lab.capacity.numbers import format_number
 from grebeproxy.lab.capacity.page import Page
-from grebeproxy.lab.capacity.rows import Bound, DeclarationError, RequestPath, Row, Stage, load_rows
+from grebeproxy.lab.capacity.rows import Bound, RequestPath, Row, Stage
 from grebeproxy.lab.record import Machine, Point, Record
 
 DOCS = Path(__file__).parent.parent / "docs"
@@ -40,9 +42,9 @@
     return copy
 
 
-def row(**told: object) -> Row:
+def row(**fields: object) -> Row:
     usual = {"id": "a", "role": "r", "what": "CPU", "title": "t", "unit": "us", "mechanism": "m"}
-    return Row(**{**usual, **told})  # type: ignore[arg-type]
+    return Row(**{**usual, **fields})  # type: ignore[arg-type]
 
 
 def figures(folder: Path, *rows: Row, **targets: float) -> Figures:
@@ -143,7 +145,7 @@
     assert result.exit_code == 1 and "more.md:3" in result.output
 
 
-def test_an_optional_file_that_is_not_there_is_said_so(docs: Path) -> None:
+def test_a_missing_optional_file_is_stated(docs: Path) -> None:
     with (docs / "capacity" / "page.md").open("a") as template:
         template.write("\n{{optional:none.md}}\n")
     Page(docs).write()
@@ -193,10 +195,10 @@
     found = fit(model, SIZES, [value(size) for size in SIZES])
     assert found.at(320.0) == pytest.approx(value(320.0))
     assert found.residual < 1e-9
-    assert found.beyond(320.0) == 2.0
+    assert found.extrapolation(320.0) == 2.0
 
 
-def test_a_residual_tells_of_a_wrong_model() -> None:
+def test_a_wrong_model_leaves_a_residual() -> None:
     assert fit(Model.LINEAR, SIZES, [size * size for size in SIZES]).residual > 0.3
 
 
@@ -206,7 +208,7 @@
 
 
 @pytest.mark.parametrize("model", [Model.LOG, Model.N_LOG_N, Model.INVERSE, Model.POWER])
-def test_a_size_of_zero_is_refused_where_it_cannot_be(model: Model) -> None:
+def test_a_size_of_zero_is_rejected_where_it_cannot_be(model: Model) -> None:
     with pytest.raises(FitError):
         fit(model, [0.0, 1.0, 2.0, 3.0], [1.0, 2.0, 3.0, 4.0])
 
@@ -223,7 +225,7 @@
     assert figure.measured is None
 
 
-def test_what_was_measured_at_the_target_itself_is_told(tmp_path: Path) -> None:
+def test_a_value_measured_at_the_target_itself_is_reported(tmp_path: Path) -> None:
     save_record(tmp_path, lambda n: 2.0 * n if n < 160 else 500.0)
     one = row(record="made.json", metric="cpu", axis="n", target=160, factor=3)
     assert figures(tmp_path, one).of("a").measured == 1500.0
@@ -333,7 +335,7 @@
 @pytest.mark.parametrize(
     "bound",
     [
-        Bound("grebeproxy.net.admission", "text", name="SPARE", value=47),
+        Bound("grebeproxy.net.admission", "text", name="RESERVED_DESCRIPTORS", value=47),
         Bound("grebeproxy.net.admission", "text", name="NOTHING", value=47),
         Bound("grebeproxy.replica.store", "text", name="Limits.origins", value=1025),
         Bound("grebeproxy.replica.store", "text", name="Limits.nothing", value=1),
@@ -357,4 +359,4 @@
     ],
 )
 def test_numbers_are_shown_with_three_digits(value: float, text: str) -> None:
-    assert shown(value) == text
+    assert format_number(value) == text
