--- a/grebeproxy/lab/capacity/measure/command.py
+++ b/grebeproxy/lab/capacity/measure/command.py
@@ -2,37 +2,84 @@
 
 from __future__ import annotations
 
-import sys
 from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from pathlib import Path
 
 import click
 
-from grebeproxy.lab.capacity.measure import cold, connections, engine_list, start, statement, whole
+from grebeproxy.lab.capacity.measure import connections, end_to_end, engine_list, slow_start, start, statement
+from grebeproxy.lab.cli import SizeList, invocation
 from grebeproxy.lab.record import Point, record_now
 
-SIZES_HELP = "Sizes to measure at, with commas."
-Measure = Callable[[tuple[int, ...], int], Sequence[Point]]
 
-
-class Sizes(click.ParamType[tuple[int, ...]]):
-    """Whole numbers above or at zero, with commas between them."""
-
-    name = "sizes"
-
-    def convert(
-        self, value: object, param: click.Parameter | None, ctx: click.Context | None
-    ) -> tuple[int, ...]:
-        """Read them; ends the command where they cannot be read."""
-        if isinstance(value, tuple):
-            return value
-        try:
-            sizes = tuple(int(word) for word in str(value).split(","))
-        except ValueError:
-            self.fail(f"{value!r} is not a list of whole numbers", param, ctx)
-        if min(sizes) < 0:
-            self.fail("sizes are not below zero", param, ctx)
-        return sizes
+@dataclass(frozen=True, slots=True)
+class Measurement:
+    """One subcommand: ``take`` measures at the sizes, with a seed, and returns a point for each."""
+
+    name: str
+    summary: str
+    sizes: tuple[int, ...]
+    take: Callable[[tuple[int, ...], int], Sequence[Point]]
+
+
+MEASUREMENTS = (
+    Measurement(
+        "statement",
+        "CPU of one statement by part, against engines, at 200 and 2,400 routers.",
+        statement.ENGINES,
+        lambda sizes, seed: statement.measure(sizes, seed=seed),
+    ),
+    Measurement(
+        "routers",
+        "CPU of deciding one statement, against routers, before 400 engines.",
+        statement.ROUTERS_OF_ONE_LIST,
+        statement.against_routers,
+    ),
+    Measurement(
+        "rates",
+        "CPU of a whole statement in a real process against statements a second, with few engines.",
+        end_to_end.RATES,
+        end_to_end.against_rate,
+    ),
+    Measurement(
+        "whole",
+        "CPU of a whole statement in a real process against the fleet's engines, few a second.",
+        end_to_end.ENGINES,
+        end_to_end.against_engines,
+    ),
+    Measurement(
+        "busy",
+        "CPU of a whole statement in a real process against the fleet's engines, "
+        "at 2,083 statements a second.",
+        end_to_end.ENGINES,
+        lambda sizes, seed: end_to_end.against_engines(sizes, seed, end_to_end.RATES[-1]),
+    ),
+    Measurement(
+        "connections",
+        "Memory of idle and busy client connections of a real process.",
+        connections.CONNECTIONS,
+        connections.measure,
+    ),
+    Measurement(
+        "enginelist",
+        "Bytes, CPU and memory of the engine list, whole and as a change of one engine.",
+        engine_list.ENGINES,
+        engine_list.measure,
+    ),
+    Measurement(
+        "start",
+        "Seconds from a router's start until it serves, with a list of engines in its configuration.",
+        start.ENGINES,
+        start.measure,
+    ),
+    Measurement(
+        "cold",
+        "What cold engines get from all routers together, over their budget, on a simulated clock.",
+        slow_start.ROUTERS,
+        slow_start.measure,
+    ),
+)
 
 
 @click.group()
@@ -40,80 +87,30 @@
     """Take one measurement and write it as a record."""
 
 
-def add(name: str, summary: str, sizes: tuple[int, ...], take: Measure) -> None:
-    """Add a measurement to the ``measure`` command."""
+def _command(measurement: Measurement) -> click.Command:
+    """The subcommand of a measurement."""
 
-    @measure.command(name, help=summary)
-    @click.option("--sizes", type=Sizes(), default=sizes, help=SIZES_HELP)
+    @click.command(measurement.name, help=measurement.summary)
+    @click.option("--sizes", type=SizeList(0), default=measurement.sizes, help="Sizes to measure at.")
     @click.option("--seed", type=int, default=1, show_default=True)
     @click.option("--json", "path", type=click.Path(dir_okay=False, path_type=Path), help="Write the record.")
-    @click.option("--note", default="", help="What to tell of the circumstances.")
+    @click.option("--note", default="", help="A note on the circumstances, for the record.")
     def command(sizes: tuple[int, ...], seed: int, path: Path | None, note: str) -> None:
-        points = tuple(take(sizes, seed))
-        record = record_now(name, f"python -m grebeproxy.lab {' '.join(sys.argv[1:])}", seed, points, note)
+        points = tuple(measurement.take(sizes, seed))
+        record = record_now(measurement.name, invocation(), seed, points, note)
         for point in points:
             click.echo(_line(point))
         if path is not None:
             record.save(path)
 
+    return command
+
+
+for _measurement in MEASUREMENTS:
+    measure.add_command(_command(_measurement))
+
 
 def _line(point: Point) -> str:
     sizes = " ".join(f"{name}={value:g}" for name, value in point.sizes.items())
     values = " ".join(f"{name}={value:.6g}" for name, value in point.values.items())
     return f"{sizes}: {values}"
-
-
-add(
-    "statement",
-    "CPU of one statement by part, against engines, at 200 and 2,400 routers.",
-    statement.ENGINES,
-    lambda sizes, seed: statement.measure(sizes, seed=seed),
-)
-add(
-    "routers",
-    "CPU of deciding one statement, against routers, before 400 engines.",
-    statement.ROUTERS_OF_ONE_LIST,
-    lambda sizes, seed: statement.against_routers(sizes, seed),
-)
-add(
-    "rates",
-    "CPU of a whole statement in a real process against statements a second, with few engines.",
-    whole.RATES,
-    lambda sizes, seed: whole.against_rate(sizes, seed),
-)
-add(
-    "whole",
-    "CPU of a whole statement in a real process against the fleet's engines, few a second.",
-    whole.ENGINES,
-    lambda sizes, seed: whole.against_engines(sizes, seed),
-)
-add(
-    "busy",
-    "CPU of a whole statement in a real process against the fleet's engines, at 2,083 statements a second.",
-    whole.ENGINES,
-    lambda sizes, seed: whole.against_engines(sizes, seed, whole.RATES[-1]),
-)
-add(
-    "connections",
-    "Memory of idle and busy client connections of a real process.",
-    connections.CONNECTIONS,
-    lambda sizes, seed: connections.measure(sizes, seed),
-)
-add(
-    "enginelist",
-    "Bytes, CPU and memory of the engine list, whole and as a change of one engine.",
-    engine_list.ENGINES,
-    lambda sizes, seed: engine_list.measure(sizes, seed),
-)
-add(
-    "start",
-    "Seconds from a router's start until it serves, with a list of engines in its configuration.",
-    start.ENGINES,
-    lambda sizes, seed: start.measure(sizes, seed),
-)
-add(
-    "cold",
-    "What cold engines get from all routers together, over their budget, on a simulated clock.",
-    cold.ROUTERS,
-    lambda sizes, seed: cold.measure(sizes, seed),
-)
--- a/grebeproxy/lab/capacity/measure/connections.py
+++ b/grebeproxy/lab/capacity/measure/connections.py
@@ -1,77 +1,102 @@
-"""Memory and CPU of client connections at a real router process, idle and when all ask at once."""
+"""Memory and CPU of client connections at a real router process, idle and when all are busy."""
 
 from __future__ import annotations
 
 import asyncio
 import time
 from collections.abc import Iterable
+from dataclasses import dataclass
 
 import uvloop
 
-from grebeproxy.lab.capacity.measure.peers import (
+from grebeproxy.lab.capacity.measure.clients import (
+    Answers,
     ClientConnection,
-    Peers,
-    connected,
-    serving,
-    total,
+    any_pending,
+    open_connections,
+    total_answers,
+    wait_until_serving,
 )
-from grebeproxy.lab.capacity.measure.process import RouterProcess, configuration
+from grebeproxy.lab.capacity.measure.process import KIBIBYTE, RouterProcess, configuration
+from grebeproxy.lab.capacity.measure.stub_servers import StubServers
 from grebeproxy.lab.capacity.measure.workload import Statements
 from grebeproxy.lab.record import Point
 
 CONNECTIONS = (500, 1000, 2000, 4000, 7500)
-ENGINES, ROUTERS = 16, 12
-IDLE_WINDOW = 2.0  # seconds, below the router's patience with clients that have asked once
-ENGINE_DELAY = 0.003
+ENGINES = 16
+ROUTERS = 12
+IDLE_WINDOW = 2.0  # seconds, below the router's idle timeout of a client that has sent a request
+ENGINE_DELAY = 0.003  # seconds
 BUSY_WINDOW = (
-    6.0  # seconds for which memory is looked at while all ask; what is held longer is not waited for
+    6.0  # seconds in which memory is read while statements are pending; later answers are not awaited
 )
-LOOK = 0.02  # seconds between looks at the memory
+MEMORY_POLL_SECONDS = 0.02
+
+
+@dataclass(frozen=True, slots=True)
+class Readings:
+    """What was read of one process; memory in mebibytes above that without connections."""
+
+    connect_seconds: float
+    idle_mb: float
+    idle_cpu: float  # CPU seconds a second
+    open_connections: int
+    busy_mb: float
+    answers: Answers
 
 
 def measure(connections: Iterable[int] = CONNECTIONS, seed: int = 1) -> list[Point]:
-    """One point for each number of connections, against the same process with none."""
-    return [uvloop.run(_point(count, seed)) for count in connections]
-
-
-async def _point(count: int, seed: int) -> Point:
-    async with Peers(ENGINES, lambda: ENGINE_DELAY) as peers:
-        with RouterProcess(configuration(ENGINES, ROUTERS, peers.ports)) as router:
-            await serving(router, peers.ports[0])
-            empty = router.rss_mb()
-            began = time.monotonic()
-            clients = await connected(peers.ports[0], count)
-            took = time.monotonic() - began
-            idle = router.rss_mb() - empty
-            cpu = router.cpu_seconds()
-            await asyncio.sleep(IDLE_WINDOW)
-            idle_cpu = (router.cpu_seconds() - cpu) / IDLE_WINDOW
-            open_clients = sum(not client.closed for client in clients)
-            busy = await _busy(router, clients, Statements(seed)) - empty
-            served, refused = total(clients)
-            for client in clients:
-                client.close()
+    """One point for each number of connections, against the same process without connections."""
+    return [_point(count, seed) for count in connections]
+
+
+def _point(count: int, seed: int) -> Point:
+    readings = uvloop.run(_read(count, seed))
+    answers = readings.answers
     values = {
-        "connect_s": took,
-        "idle_mb": idle,
-        "idle_kb_each": idle * 1024 / count,
-        "idle_cpu_percent": idle_cpu * 100,
-        "busy_mb": busy,
-        "busy_kb_each": busy * 1024 / count,
-        "open": open_clients,
-        "served": served - count,
-        "refused": refused,
-        "unanswered": 2 * count - served - refused,
+        "connect_s": readings.connect_seconds,
+        "idle_mb": readings.idle_mb,
+        "idle_kb_each": readings.idle_mb * KIBIBYTE / count,
+        "idle_cpu_percent": readings.idle_cpu * 100,
+        "busy_mb": readings.busy_mb,
+        "busy_kb_each": readings.busy_mb * KIBIBYTE / count,
+        "open": readings.open_connections,
+        "served": answers.served - count,  # each connection's first request was a health check
+        "refused": answers.rejected,
+        "unanswered": 2 * count - answers.served - answers.rejected,
     }
     return Point({"connections": count}, values)
 
 
-async def _busy(router: RouterProcess, clients: list[ClientConnection], statements: Statements) -> float:
-    """The most memory while each connection has a statement open, in MB."""
+async def _read(count: int, seed: int) -> Readings:
+    async with StubServers(ENGINES, lambda: ENGINE_DELAY) as servers:
+        with RouterProcess(configuration(ENGINES, ROUTERS, servers.ports)) as router:
+            await wait_until_serving(router, servers.ports.clients)
+            empty_mb = router.rss_mb()
+            started_at = time.monotonic()
+            clients = await open_connections(servers.ports.clients, count)
+            connect_seconds = time.monotonic() - started_at
+            idle_mb = router.rss_mb() - empty_mb
+            cpu_before = router.cpu_seconds()
+            await asyncio.sleep(IDLE_WINDOW)
+            idle_cpu = (router.cpu_seconds() - cpu_before) / IDLE_WINDOW
+            still_open = sum(not client.closed for client in clients)
+            busy_mb = await _peak_memory_mb(router, clients, Statements(seed)) - empty_mb
+            answers = total_answers(clients)
+            for client in clients:
+                client.close()
+    return Readings(connect_seconds, idle_mb, idle_cpu, still_open, busy_mb, answers)
+
+
+async def _peak_memory_mb(
+    router: RouterProcess, clients: list[ClientConnection], statements: Statements
+) -> float:
+    """The greatest resident memory while each connection has a statement pending."""
     for client in clients:
-        client.ask(statements)
-    most, until = router.rss_mb(), time.monotonic() + BUSY_WINDOW
-    while any(client.open and not client.closed for client in clients) and time.monotonic() < until:
-        await asyncio.sleep(LOOK)
-        most = max(most, router.rss_mb())
-    return most
+        client.send_statement(statements)
+    peak = router.rss_mb()
+    deadline = time.monotonic() + BUSY_WINDOW
+    while any_pending(clients) and time.monotonic() < deadline:
+        await asyncio.sleep(MEMORY_POLL_SECONDS)
+        peak = max(peak, router.rss_mb())
+    return peak
--- a/grebeproxy/lab/capacity/measure/engine_list.py
+++ b/grebeproxy/lab/capacity/measure/engine_list.py
@@ -1,4 +1,4 @@
-"""The engine list in a router: bytes, CPU to take it in, and memory of an entry, whole and as changes."""
+"""The engine list in a router: bytes, CPU and memory, of a full list and of changes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,9 @@
 import tracemalloc
 from collections.abc import Iterable
 
-from grebeproxy.lab.capacity.measure.workload import list_frame, profile, settings
+from grebeproxy.lab.capacity.measure.engines import list_frame
+from grebeproxy.lab.capacity.measure.process import KIBIBYTE
+from grebeproxy.lab.capacity.measure.router_settings import profile, settings
 from grebeproxy.lab.record import Point
 from grebeproxy.net import admission
 from grebeproxy.net.changelog import CHANGES, FULL, HEAD, Decoder
@@ -19,9 +21,14 @@
 ENGINES = (80, 200, 400, 800, 1600, 3200)
 ROUTERS = 2400
 RUNS = 3
-CHANGED = 20  # changes of one engine, of which the mean is taken
+CHANGES_PER_RUN = 20  # each of one engine; the mean is taken
 PORT = 9001
 STARTED_MS = 5_000_000
+MAX_SOCKETS = 1024
+MEMORY_MB = 192.0
+START_TIME = 1.0  # seconds on the simulated clock
+LIST_TIME = 10.0
+CHANGES_TIME = 11.0  # of the first change; one follows each second
 
 
 def measure(engines: Iterable[int] = ENGINES, seed: int = 1) -> list[Point]:
@@ -32,50 +39,52 @@
 def _point(engines: int, seed: int) -> Point:
     runs = [_run(engines, seed) for _ in range(RUNS)]
     values = {name: min(run[name] for run in runs) for name in runs[0]}
-    values["memory_kb_each"] = _memory_bytes(engines, seed) / engines / 1024
+    values["memory_kb_each"] = _memory_bytes(engines, seed) / engines / KIBIBYTE
     return Point({"engines": engines, "routers": ROUTERS}, values)
 
 
 def _run(engines: int, seed: int) -> dict[str, float]:
-    """Bytes and milliseconds of one full list and of a change of one engine behind it."""
-    whole = list_frame(range(engines), PORT, seq=1, kind=FULL)
+    """Bytes and milliseconds of one full list and of a change of one engine after it."""
+    full = list_frame(range(engines), PORT, seq=1, kind=FULL)
     changes = [
-        list_frame(range(number, number + 1), PORT, 2 + at, CHANGES, STARTED_MS + at)
-        for at, number in enumerate(_spread(engines))
+        list_frame(range(engine, engine + 1), PORT, 2 + number, CHANGES, STARTED_MS + number)
+        for number, engine in enumerate(_changed_engines(engines))
     ]
-    router, decoder = _router(seed), Decoder(settings(ROUTERS), _seconds)
-    began = time.process_time()
-    news = list(decoder.feed(whole))
-    decoded = time.process_time()
-    _take(router, 10.0, news)
-    taken = time.process_time()
-    for at, change in enumerate(changes):
-        _take(router, 11.0 + at, list(decoder.feed(change)))
-    changed = time.process_time()
+    router = _router(seed)
+    decoder = Decoder(settings(ROUTERS), _seconds)
+    started_at = time.process_time()
+    updates = list(decoder.feed(full))
+    decoded_at = time.process_time()
+    _apply(router, LIST_TIME, updates)
+    applied_at = time.process_time()
+    for number, change in enumerate(changes):
+        _apply(router, CHANGES_TIME + number, list(decoder.feed(change)))
+    changed_at = time.process_time()
     return {
-        "whole_bytes": len(whole),
+        "whole_bytes": len(full),
         "change_bytes": len(changes[0]),
-        "entry_bytes": (len(whole) - HEAD.size) / engines,
-        "decode_ms": (decoded - began) * 1000,
-        "take_in_ms": (taken - decoded) * 1000,
-        "whole_ms": (taken - began) * 1000,
-        "change_ms": (changed - taken) / len(changes) * 1000,
+        "entry_bytes": (len(full) - HEAD.size) / engines,
+        "decode_ms": (decoded_at - started_at) * 1000,
+        "take_in_ms": (applied_at - decoded_at) * 1000,
+        "whole_ms": (applied_at - started_at) * 1000,
+        "change_ms": (changed_at - applied_at) / len(changes) * 1000,
     }
 
 
-def _spread(engines: int) -> list[int]:
-    """Engines over the whole list, one for each change."""
-    return [at * engines // CHANGED for at in range(CHANGED)]
+def _changed_engines(engines: int) -> list[int]:
+    """Engines spread over the whole list, one for each change."""
+    return [number * engines // CHANGES_PER_RUN for number in range(CHANGES_PER_RUN)]
 
 
 def _memory_bytes(engines: int, seed: int) -> float:
-    """What a router keeps of a full list, as the allocator counts it."""
-    router, decoder = _router(seed), Decoder(settings(ROUTERS), _seconds)
-    whole = list_frame(range(engines), PORT, seq=1, kind=FULL)
+    """What a router stores of a full list, as the allocator counts it."""
+    router = _router(seed)
+    decoder = Decoder(settings(ROUTERS), _seconds)
+    full = list_frame(range(engines), PORT, seq=1, kind=FULL)
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
-        _take(router, 10.0, list(decoder.feed(whole)))
+        _apply(router, LIST_TIME, list(decoder.feed(full)))
         after, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
@@ -83,24 +92,24 @@
 
 
 def _router(seed: int) -> Router:
-    """A router whose connection to the change log is up."""
+    """A router whose connection to the change log is open."""
     router = Router(
         settings(ROUTERS),
         wire_limits_from(profile(ROUTERS)),
         changelog=("127.0.0.1", PORT),
-        bounds=admission.bounds(1024, 192.0),
+        bounds=admission.bounds(MAX_SOCKETS, MEMORY_MB),
         seed=seed,
-        now=1.0,
+        now=START_TIME,
     )
-    router.start(1.0)
-    router.step(1.0, [ChangeLogOpened(1)])
+    router.start(START_TIME)
+    router.step(START_TIME, [ChangeLogOpened(1)])
     return router
 
 
-def _take(router: Router, now: float, news: list[ChangeLogUpdate]) -> None:
-    """Tell the router, and let it decide by what it was told."""
-    router.step(now, [ChangeLogReceived(one) for one in news])
-    assert all(one.change is None or isinstance(one.change, api.EngineList) for one in news)
+def _apply(router: Router, now: float, updates: list[ChangeLogUpdate]) -> None:
+    """Have the router process updates, all of which must be engine lists."""
+    router.step(now, [ChangeLogReceived(update) for update in updates])
+    assert all(update.change is None or isinstance(update.change, api.EngineList) for update in updates)
 
 
 def _seconds(unix_ms: int) -> float:
--- a/grebeproxy/lab/capacity/measure/process.py
+++ b/grebeproxy/lab/capacity/measure/process.py
@@ -11,32 +11,67 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 from types import TracebackType
-from typing import Any
+from typing import NamedTuple, TypedDict
 
 import orjson
 
-from grebeproxy.lab.capacity.measure.workload import known, profile
+from grebeproxy.errors import GrebeproxyError
+from grebeproxy.lab.capacity.measure.engines import KnownEngines, known_engines
+from grebeproxy.lab.capacity.measure.router_settings import Fields, profile
 from grebeproxy.lab.record import MEBIBYTE
 
 HOST = "127.0.0.1"
-STOP_WITHIN = 10.0  # seconds from SIGTERM until it is killed
-DESCRIPTORS = 19_000  # of one router, under the machine's 20,000
+STOP_SECONDS = 10.0  # after SIGTERM, until the process is killed
+MAX_SOCKETS = 19_000  # of one router, under the machine's limit of 20,000 descriptors
+MEMORY_MB = 1024
+LOG_LINES = 5  # of the router's log, in an error
+KIBIBYTE = 1024
 
 
-class RouterFailedError(Exception):
+class RouterFailedError(GrebeproxyError):
     """The router has ended, or does not serve; the text is the end of its log."""
 
 
-def configuration(engines: int, routers: int, ports: tuple[int, int, int]) -> dict[str, Any]:
-    """A router's configuration; ``ports`` are the client's, the change log's and that of all engines."""
-    listen, changelog, engine_port = ports
+class ProcessStatusError(GrebeproxyError):
+    """The kernel's status of a process lacks its resident memory."""
+
+
+class Ports(NamedTuple):
+    """Loopback ports of one measured router: for its clients, of the change log, and of all engines."""
+
+    clients: int
+    changelog: int
+    engines: int
+
+
+class ResourceLimits(TypedDict):
+    """The ``limits`` field of a router's configuration."""
+
+    sockets: int
+    memory_mb: int
+
+
+class RouterConfiguration(TypedDict):
+    """A router's configuration file."""
+
+    name: str
+    listen: str
+    changelog: str
+    seed: str
+    limits: ResourceLimits
+    known: KnownEngines
+    settings: Fields
+
+
+def configuration(engines: int, routers: int, ports: Ports) -> RouterConfiguration:
+    """The configuration of one of several routers before some engines."""
     return {
         "name": "measured",
-        "listen": f"{HOST}:{listen}",
-        "changelog": f"{HOST}:{changelog}",
+        "listen": f"{HOST}:{ports.clients}",
+        "changelog": f"{HOST}:{ports.changelog}",
         "seed": "1",
-        "limits": {"sockets": DESCRIPTORS, "memory_mb": 1024},
-        "known": known(engines, engine_port),
+        "limits": {"sockets": MAX_SOCKETS, "memory_mb": MEMORY_MB},
+        "known": known_engines(engines, ports.engines),
         "settings": profile(routers),
     }
 
@@ -44,20 +79,20 @@
 class RouterProcess:
     """``python -m grebeproxy`` with a configuration; ended with SIGTERM on leaving the context."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
+    def __init__(self, configuration: RouterConfiguration) -> None:
         self._folder = TemporaryDirectory(prefix="grebeproxy-measure-")
         self._log = Path(self._folder.name) / "log"
-        config = Path(self._folder.name) / "config.json"
-        config.write_bytes(orjson.dumps(told))
-        environment = {**os.environ, "BALANCER_CONFIG": str(config), "TMPDIR": self._folder.name}
-        self.began = time.monotonic()
+        path = Path(self._folder.name) / "config.json"
+        path.write_bytes(orjson.dumps(configuration))
+        environment = {**os.environ, "BALANCER_CONFIG": str(path), "TMPDIR": self._folder.name}
+        self.started_at = time.monotonic()
         with self._log.open("wb") as log:
             self._process = subprocess.Popen(
                 [sys.executable, "-m", "grebeproxy"], env=environment, stdout=log, stderr=log
             )
 
     def __enter__(self) -> RouterProcess:
-        """The process has begun."""
+        """The process runs since the constructor."""
         return self
 
     def __exit__(
@@ -66,7 +101,7 @@
         """End the process, and wait for its end."""
         self._process.send_signal(signal.SIGTERM)
         try:
-            self._process.wait(STOP_WITHIN)
+            self._process.wait(STOP_SECONDS)
         except subprocess.TimeoutExpired:
             self._process.kill()
             self._process.wait()
@@ -79,10 +114,10 @@
 
     def log(self) -> str:
         """The last lines of the router's log."""
-        return "\n".join(self._log.read_text().splitlines()[-5:])
+        return "\n".join(self._log.read_text().splitlines()[-LOG_LINES:])
 
     def cpu_seconds(self) -> float:
-        """CPU time of the process so far."""
+        """CPU time of the process so far, in seconds."""
         self.check()
         nanoseconds = sum(
             int(schedstat.read_text().split()[0])
@@ -91,9 +126,10 @@
         return nanoseconds / 1e9
 
     def rss_mb(self) -> float:
-        """Resident memory now."""
+        """Resident memory now, in mebibytes."""
         self.check()
         status = Path(f"/proc/{self._process.pid}/status").read_text()
         found = re.search(r"^VmRSS:\s+(\d+) kB", status, re.MULTILINE)
-        assert found is not None
-        return int(found[1]) * 1024 / MEBIBYTE
+        if found is None:
+            raise ProcessStatusError(f"process {self._process.pid}: no VmRSS in its status")
+        return int(found[1]) * KIBIBYTE / MEBIBYTE
--- a/grebeproxy/lab/capacity/measure/start.py
+++ b/grebeproxy/lab/capacity/measure/start.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
 import uvloop
 
-from grebeproxy.lab.capacity.measure.peers import Peers, serving
+from grebeproxy.lab.capacity.measure.clients import wait_until_serving
 from grebeproxy.lab.capacity.measure.process import RouterProcess, configuration
+from grebeproxy.lab.capacity.measure.stub_servers import StubServers
 from grebeproxy.lab.record import Point
 
 ENGINES = (80, 200, 400, 800, 1600, 3200)
@@ -15,20 +17,31 @@
 RUNS = 3
 
 
+class Start(NamedTuple):
+    """One start: seconds until the router served, and its CPU seconds and resident mebibytes then."""
+
+    serves_s: float
+    cpu_s: float
+    rss_mb: float
+
+
 def measure(engines: Iterable[int] = ENGINES, seed: int = 1) -> list[Point]:
-    """One point for each number of engines: the least of several starts, and memory when it serves."""
+    """One point for each number of engines: the least of several starts."""
     return [_point(count) for count in engines]
 
 
 def _point(engines: int) -> Point:
     runs = [uvloop.run(_start(engines)) for _ in range(RUNS)]
-    names = ("serves_s", "cpu_s", "rss_mb")
-    values = {name: min(run[position] for run in runs) for position, name in enumerate(names)}
+    values = {
+        "serves_s": min(run.serves_s for run in runs),
+        "cpu_s": min(run.cpu_s for run in runs),
+        "rss_mb": min(run.rss_mb for run in runs),
+    }
     return Point({"engines": engines, "routers": ROUTERS}, values)
 
 
-async def _start(engines: int) -> tuple[float, float, float]:
-    async with Peers(0, lambda: 0.0) as peers:
-        with RouterProcess(configuration(engines, ROUTERS, peers.ports)) as router:
-            serves = await serving(router, peers.ports[0])
-            return serves, router.cpu_seconds(), router.rss_mb()
+async def _start(engines: int) -> Start:
+    async with StubServers(0, lambda: 0.0) as servers:
+        with RouterProcess(configuration(engines, ROUTERS, servers.ports)) as router:
+            serves = await wait_until_serving(router, servers.ports.clients)
+            return Start(serves, router.cpu_seconds(), router.rss_mb())
--- /dev/null
+++ b/grebeproxy/lab/capacity/measure/stub_servers.py
@@ -0,0 +1,100 @@
+"""Stubs of the servers that a router connects to, in one event loop: engines and the change log."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+from collections.abc import Callable
+from contextlib import ExitStack
+from typing import cast
+
+import hiredis
+
+from grebeproxy.lab.capacity.measure.engines import engine_host
+from grebeproxy.lab.capacity.measure.process import HOST, Ports
+from grebeproxy.lab.capacity.measure.workload import LOAD_REPORT, RESULT_PAGE
+
+BACKLOG = 1024
+HEARTBEAT_SECONDS = 1.0  # between frames of the change log
+HEARTBEAT_HEAD = struct.Struct(">I")
+HEARTBEAT_LENGTH = 9  # of a sequence number and an event kind
+SEQUENCE_BYTES = 8
+NO_EVENTS = b"\0"
+
+
+def free_ports() -> Ports:
+    """Ports of the loopback address that are free now."""
+    with ExitStack() as sockets:
+        bound = [sockets.enter_context(socket.create_server((HOST, 0))) for _ in Ports._fields]
+        return Ports(*(int(one.getsockname()[1]) for one in bound))
+
+
+class EngineStub(asyncio.Protocol):
+    """A router's connection to an engine that answers each request after ``delay`` seconds."""
+
+    def __init__(self, delay: Callable[[], float]) -> None:
+        self._delay = delay
+        self._reader = hiredis.Reader()
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
+        self._transport = cast(asyncio.Transport, transport)
+
+    def data_received(self, data: bytes) -> None:
+        """Answer the handshake at once, and each request after the delay."""
+        self._reader.feed(data)
+        while (words := self._reader.gets()) is not False:
+            assert isinstance(words, list)  # routers send arrays of strings only
+            if words[0] == b"REQ":
+                loop = asyncio.get_running_loop()
+                loop.call_later(self._delay(), self._answer, words[1], "ok", LOAD_REPORT, RESULT_PAGE)
+            elif words[0] == b"HELO":
+                self._answer(words[1], "yes", "-", b"")
+
+    def _answer(self, *words: str | bytes) -> None:
+        if not self._transport.is_closing():
+            self._transport.write(hiredis.pack_command(words))
+
+
+class ChangeLogStub(asyncio.Protocol):
+    """A router's connection to a change log without new events: it sends heartbeats only."""
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
+        self._transport = cast(asyncio.Transport, transport)
+
+    def data_received(self, data: bytes) -> None:
+        """Read the sequence number of the last event that the router has, and repeat it in heartbeats."""
+        self._send_heartbeat(data[:SEQUENCE_BYTES])
+
+    def _send_heartbeat(self, sequence: bytes) -> None:
+        if not self._transport.is_closing():
+            self._transport.write(HEARTBEAT_HEAD.pack(HEARTBEAT_LENGTH) + sequence + NO_EVENTS)
+            asyncio.get_running_loop().call_later(HEARTBEAT_SECONDS, self._send_heartbeat, sequence)
+
+
+class StubServers:
+    """Listening stubs: the change log, and engines with a loopback address each."""
+
+    def __init__(self, engines: int, delay: Callable[[], float]) -> None:
+        self._engines = engines
+        self._delay = delay
+        self._servers: list[asyncio.Server] = []
+        self.ports = free_ports()
+
+    async def __aenter__(self) -> StubServers:
+        """Listen."""
+        loop = asyncio.get_running_loop()
+        self._servers.append(await loop.create_server(ChangeLogStub, HOST, self.ports.changelog))
+        for number in range(self._engines):
+            server = await loop.create_server(
+                lambda: EngineStub(self._delay), engine_host(number), self.ports.engines, backlog=BACKLOG
+            )
+            self._servers.append(server)
+        return self
+
+    async def __aexit__(self, *_: object) -> None:
+        """Stop listening."""
+        for server in self._servers:
+            server.close()
--- a/tests/test_capacity_measure.py
+++ b/tests/test_capacity_measure.py
@@ -11,9 +11,11 @@
 
 from grebeproxy import Choice
 from grebeproxy.lab.__main__ import main
-from grebeproxy.lab.capacity.measure import cold, connections, engine_list, start, statement, whole
+from grebeproxy.lab.capacity.measure import connections, end_to_end, engine_list, slow_start, start, statement
+from grebeproxy.lab.capacity.measure.engines import engine_entries
 from grebeproxy.lab.capacity.measure.process import RouterProcess
-from grebeproxy.lab.capacity.measure.workload import Statements, engine_entries, settings
+from grebeproxy.lab.capacity.measure.router_settings import settings
+from grebeproxy.lab.capacity.measure.workload import Statements
 from grebeproxy.lab.record import load_record
 from grebeproxy.net import msgpack_rpc
 from grebeproxy.net.messages import Call
@@ -22,11 +24,11 @@
 
 @pytest.fixture(autouse=True)
 def short(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(whole, "WARM_UP", 0.2)
-    monkeypatch.setattr(whole, "WINDOW", 0.6)
+    monkeypatch.setattr(end_to_end, "WARM_UP", 0.2)
+    monkeypatch.setattr(end_to_end, "WINDOW", 0.6)
     monkeypatch.setattr(connections, "IDLE_WINDOW", 0.2)
     monkeypatch.setattr(start, "RUNS", 1)
-    monkeypatch.setattr(cold, "SECONDS", 2.5)
+    monkeypatch.setattr(slow_start, "SECONDS", 2.5)
     monkeypatch.setattr(statement, "DECISION_SECONDS", 0.02)
     monkeypatch.setattr(statement, "CODEC_STATEMENTS", 50)
 
@@ -37,11 +39,11 @@
     started: list[int] = []
     begin: Callable[..., None] = RouterProcess.__init__
 
-    def noted(self: RouterProcess, *told: object) -> None:
-        begin(self, *told)
+    def recording(self: RouterProcess, *arguments: object) -> None:
+        begin(self, *arguments)
         started.append(self._process.pid)
 
-    monkeypatch.setattr(RouterProcess, "__init__", noted)
+    monkeypatch.setattr(RouterProcess, "__init__", recording)
     yield started
     assert started
     assert not [pid for pid in started if Path(f"/proc/{pid}").exists()]
@@ -90,8 +92,8 @@
     assert many.values["memory_kb_each"] > 0
 
 
-def test_whole_statements_are_all_answered_by_a_real_router(processes: list[int]) -> None:
-    (point,) = whole.against_rate((100,))
+def test_complete_statements_are_all_answered_by_a_real_router(processes: list[int]) -> None:
+    (point,) = end_to_end.against_rate((100,))
     assert point.values["served_per_s"] == pytest.approx(100, rel=0.2)
     assert point.values["refused_per_s"] == 0
     assert 50 < point.values["cpu_us"] < 50_000
@@ -127,7 +129,7 @@
     assert "Error" in result.output
 
 
-def test_cold_engines_get_something_and_no_more_than_their_budget() -> None:
-    (point,) = cold.measure((12,))
+def test_warming_engines_get_something_and_no_more_than_their_budget() -> None:
+    (point,) = slow_start.measure((12,))
     assert 0 < point.values["most_over_bound"] <= 1
     assert 0 < point.values["sent_share"] < 1
