--- a/grebeproxy/lab/subsets/command.py
+++ b/grebeproxy/lab/subsets/command.py
@@ -1,22 +1,28 @@
-"""The command ``python -m grebeproxy.lab subsets``."""
+"""``python -m grebeproxy.lab subsets``: simulate the schemes and write a record."""
 
 from __future__ import annotations
 
-import sys
+from dataclasses import asdict, dataclass
 from pathlib import Path
 
 import click
 import numpy as np
 
+from grebeproxy.lab.cli import OneLineErrorCommand, SizeList, invocation
 from grebeproxy.lab.record import Point, record_now
-from grebeproxy.lab.subsets.cost import ONE_ROUTER, cost
-from grebeproxy.lab.subsets.fleet import make_fleet
-from grebeproxy.lab.subsets.measures import Values, measure
+from grebeproxy.lab.subsets.cost import cost
+from grebeproxy.lab.subsets.fleet import Fleet, make_fleet
+from grebeproxy.lab.subsets.measures import measure
+from grebeproxy.lab.subsets.router_subsets import BUILDERS
 from grebeproxy.lab.subsets.schemes import SCHEMES, Scheme
-
-ROUTERS, ENGINES = "200,300,600,1200,2400", "80,400,800,1600,3200"
-SMALL_FIRST = ("_min", "_min_over_mean")  # of these the worst of all seeds is the least
-SHOWN = (
+from grebeproxy.lab.subsets.traffic import Values
+
+ROUTERS = "200,300,600,1200,2400"
+ENGINES = "80,400,800,1600,3200"
+MIN_ENGINES_PER_ZONE = 2
+NOTE = "values are means over seeds; *.worst is the worst"
+WORST_IS_LEAST = ("_min", "_min_over_mean")  # suffixes of measures whose worst value is the least one
+TABLE_ROWS = (
     "blind.sharers_max_over_mean",
     "blind.sharers_min_over_mean",
     "blind.load_equal_even",
@@ -68,48 +74,43 @@
 )
 
 
-class Sizes(click.ParamType[tuple[int, ...]]):
-    """Positive whole numbers with commas between them."""
+@dataclass(frozen=True, slots=True)
+class Options:
+    """The options of the command; ``names`` are those of the schemes, or empty for all."""
 
-    name = "N,N,..."
+    routers: tuple[int, ...]
+    engines: tuple[int, ...]
+    zones: int
+    seeds: int
+    names: tuple[str, ...]
+    path: Path | None
 
-    def convert(
-        self, value: object, param: click.Parameter | None, ctx: click.Context | None
-    ) -> tuple[int, ...]:
-        """The numbers of the text."""
-        try:
-            sizes = tuple(int(word) for word in str(value).split(","))
-        except ValueError:
-            sizes = ()
-        if not sizes or min(sizes) < 1:
-            self.fail(f"{value!r} is not a list of positive whole numbers", param, ctx)
-        return sizes
 
+@dataclass(frozen=True, slots=True)
+class FleetSize:
+    """The size of the simulated fleets, one for each seed."""
 
-class UsageInOneLine(click.Command):
-    """A command that tells of arguments that cannot be used in one line."""
+    routers: int
+    engines: int
+    zones: int
+    seeds: int
 
-    def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
-        """Parse, and check what depends on several options."""
-        try:
-            left = super().parse_args(ctx, args)
-            if not ctx.resilient_parsing:
-                _check_sizes(**{name: ctx.params[name] for name in ("routers", "engines", "zones")})
-        except click.UsageError as error:
-            raise click.UsageError(" ".join(error.format_message().split())) from None
-        return left
 
+class SubsetsCommand(OneLineErrorCommand):
+    """Checks that the options fit each other, too."""
 
-def _check_sizes(routers: tuple[int, ...], engines: tuple[int, ...], zones: int) -> None:
-    if len(routers) != len(engines):
-        raise click.UsageError("--routers and --engines must list as many sizes")
-    if min(engines) < 2 * zones:
-        raise click.UsageError("--engines must be at least twice --zones")
+    def check_arguments(self, ctx: click.Context) -> None:
+        """Raises ``click.UsageError`` for lists of unequal lengths, or too few engines for the zones."""
+        options = Options(**ctx.params)
+        if len(options.routers) != len(options.engines):
+            raise click.UsageError("--routers and --engines must list as many sizes")
+        if min(options.engines) < MIN_ENGINES_PER_ZONE * options.zones:
+            raise click.UsageError("--engines must be at least twice --zones")
 
 
-@click.command("subsets", cls=UsageInOneLine, context_settings={"help_option_names": ["-h", "--help"]})
-@click.option("--routers", type=Sizes(), default=ROUTERS, show_default=True, help="Routers of each size.")
-@click.option("--engines", type=Sizes(), default=ENGINES, show_default=True, help="Engines of each size.")
+@click.command("subsets", cls=SubsetsCommand, context_settings={"help_option_names": ["-h", "--help"]})
+@click.option("--routers", type=SizeList(1), default=ROUTERS, show_default=True, help="Routers of each size.")
+@click.option("--engines", type=SizeList(1), default=ENGINES, show_default=True, help="Engines of each size.")
 @click.option("--zones", type=click.IntRange(1, 100), default=6, show_default=True)
 @click.option(
     "--seeds", type=click.IntRange(1, 1000), default=20, show_default=True, help="Fleets of each size."
@@ -124,54 +125,58 @@
 @click.option(
     "--json", "path", type=click.Path(dir_okay=False, path_type=Path), help="Where to write the record."
 )
-def subsets(
-    routers: tuple[int, ...],
-    engines: tuple[int, ...],
-    zones: int,
-    seeds: int,
-    names: tuple[str, ...],
-    path: Path | None,
-) -> None:
+@click.pass_context
+def subsets(ctx: click.Context, **_: object) -> None:
     """Simulate ways to give each router a subset of the engines."""
-    schemes = [scheme for scheme in SCHEMES if not names or scheme.name in names]
-    points = [simulate(schemes, *size, zones, seeds) for size in zip(routers, engines, strict=True)]
+    options = Options(**ctx.params)
+    schemes = [scheme for scheme in SCHEMES if not options.names or scheme.name in options.names]
+    sizes = [
+        FleetSize(routers, engines, options.zones, options.seeds)
+        for routers, engines in zip(options.routers, options.engines, strict=True)
+    ]
+    points = [simulate(schemes, size) for size in sizes]
     for point in points:
         click.echo(table(point, schemes))
-    if path is not None:
-        command = "python -m grebeproxy.lab " + " ".join(sys.argv[1:])
-        record_now(
-            "subsets", command, 0, tuple(points), "values are means over seeds; *.worst is the worst"
-        ).save(path)
+    if options.path is not None:
+        record_now("subsets", invocation(), 0, tuple(points), NOTE).save(options.path)
 
 
-def simulate(schemes: list[Scheme], routers: int, engines: int, zones: int, seeds: int) -> Point:
-    """All measurements of some schemes at one size: the mean over seeds, and the worst."""
+def simulate(schemes: list[Scheme], size: FleetSize) -> Point:
+    """All measures of some schemes at one size: the mean over seeds, and the worst."""
     values: Values = {}
     for scheme in schemes:
-        click.echo(f"{routers} routers, {engines} engines: {scheme.name}", err=True)
-        fleets = [make_fleet(routers, engines, zones, np.random.default_rng(seed)) for seed in range(seeds)]
-        runs = [measure(scheme, fleet, seed) for seed, fleet in enumerate(fleets)]
-        for name in runs[0]:
-            seen = [run[name] for run in runs]
-            worst = min(seen) if name.endswith(SMALL_FIRST) else max(seen)
-            values |= {f"{scheme.name}.{name}": _rounded(float(np.mean(seen)))}
-            values |= {f"{scheme.name}.{name}.worst": _rounded(worst)}
-        if scheme.name in ONE_ROUTER:
-            taken = cost(scheme.name, routers, engines, int(fleets[0].own().max()))
-            values |= {f"{scheme.name}.{name}": _rounded(value) for name, value in taken.items()}
-    return Point({"routers": routers, "engines": engines, "zones": zones, "seeds": seeds}, values)
+        click.echo(f"{size.routers} routers, {size.engines} engines: {scheme.name}", err=True)
+        fleets = [
+            make_fleet(size.routers, size.engines, size.zones, np.random.default_rng(seed))
+            for seed in range(size.seeds)
+        ]
+        values |= _means_and_worst(scheme, fleets)
+        if scheme.name in BUILDERS:
+            costs = cost(scheme.name, size.routers, size.engines, fleets[0].base_subset_size())
+            values |= {f"{scheme.name}.{name}": _rounded(value) for name, value in costs.items()}
+    return Point(asdict(size), values)
+
+
+def _means_and_worst(scheme: Scheme, fleets: list[Fleet]) -> Values:
+    runs = [measure(scheme, fleet, seed) for seed, fleet in enumerate(fleets)]
+    values: Values = {}
+    for name in runs[0]:
+        of_seeds = [run[name] for run in runs]
+        worst = min(of_seeds) if name.endswith(WORST_IS_LEAST) else max(of_seeds)
+        values[f"{scheme.name}.{name}"] = _rounded(float(np.mean(of_seeds)))
+        values[f"{scheme.name}.{name}.worst"] = _rounded(worst)
+    return values
 
 
 def table(point: Point, schemes: list[Scheme]) -> str:
-    """The shown measurements as text, a column for each scheme."""
+    """The chief measures as text, with a column for each scheme."""
     sizes = ", ".join(f"{name} {value:g}" for name, value in point.sizes.items())
     lines = [sizes, f"{'mean over seeds':36}" + "".join(f"{scheme.name:>12}" for scheme in schemes)]
-    for name in SHOWN:
-        cells = [point.values.get(f"{scheme.name}.{name}") for scheme in schemes]
-        if any(cell is not None for cell in cells):
-            lines.append(
-                f"{name:36}" + "".join(f"{'-' if cell is None else f'{cell:.4g}':>12}" for cell in cells)
-            )
+    for name in TABLE_ROWS:
+        values = [point.values.get(f"{scheme.name}.{name}") for scheme in schemes]
+        if any(value is not None for value in values):
+            cells = ["-" if value is None else f"{value:.4g}" for value in values]
+            lines.append(f"{name:36}" + "".join(f"{cell:>12}" for cell in cells))
     return "\n".join([*lines, ""])
 
 
--- a/grebeproxy/lab/subsets/fleet.py
+++ b/grebeproxy/lab/subsets/fleet.py
@@ -12,13 +12,11 @@
 Floats = NDArray[np.float64]
 Mask = NDArray[np.bool_]
 
-SMALLEST_SUBSET = 16  # engines; the product's NEAR
-ENGINES_PER_PART = (
-    3.0  # a subset has at least so many times a router's part of the engines; the product's ROOMY
-)
-LARGEST_PART = 8.0  # times the mean traffic that a router takes itself to have at most
-RACK = 40  # engines
-GROWTH = 0.1  # of the routers, which come or go at once
+MIN_SUBSET_SIZE = 16  # engines, as in ``grebeproxy/policy/subset.py``
+ENGINES_PER_ROUTER_FACTOR = 3.0  # a subset is at least this multiple of the engines per router, as there
+MAX_RELATIVE_TRAFFIC = 8.0  # the multiple of the mean traffic up to which a router widens its subset
+RACK_SIZE = 40  # engines
+SCALING_FRACTION = 0.1  # of the routers, which are added or removed at once
 GOLDEN_RATIO = 0.6180339887498949
 
 
@@ -41,11 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Routers:
-    """Routers by number; ``place`` of ``count`` is where each takes itself to be in the order of numbers."""
+    """Routers by number; each believes that it is at ``index`` of ``count`` in the order of numbers."""
 
     number: Integers
     zone: Integers
-    place: Integers
+    index: Integers
     count: Integers
 
     def __len__(self) -> int:
@@ -53,20 +51,20 @@
         return len(self.number)
 
     def where(self, mask: Mask) -> Routers:
-        """The routers for which the mask holds, with the places that they have among all."""
-        return Routers(self.number[mask], self.zone[mask], self.place[mask], self.count[mask])
+        """The routers for which the mask holds, with their index among all."""
+        return Routers(self.number[mask], self.zone[mask], self.index[mask], self.count[mask])
 
     def of_zone(self, zone: int) -> Routers:
-        """The routers of a zone, with their places among just these, as if each knew the zones of all."""
+        """The routers of a zone, with their index among just these, as if each knew the zones of all."""
         routers = self.where(self.zone == zone)
-        of_all = len(routers) / max(1, len(self))
-        count = np.maximum(len(routers), np.rint(routers.count * of_all).astype(np.int64))
-        return replace(routers, place=np.arange(len(routers), dtype=np.int64), count=count)
+        fraction = len(routers) / max(1, len(self))
+        count = np.maximum(len(routers), np.rint(routers.count * fraction).astype(np.int64))
+        return replace(routers, index=np.arange(len(routers), dtype=np.int64), count=count)
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """All engines and routers of one moment; ``universe`` counts the engines that there ever were."""
+    """All engines and routers of one moment; ``universe`` is the number of engines that ever existed."""
 
     engines: Engines
     routers: Routers
@@ -74,18 +72,26 @@
     universe: int
 
     def without(self, lost: Mask) -> Fleet:
-        """The fleet whose list lacks some engines, given by a mask over its engines."""
+        """The fleet without some engines, given by a mask over its engines."""
         return replace(self, engines=self.engines.where(~lost))
 
-    def own(self, part: Floats | None = None) -> Integers:
-        """Engines in each router's subset, for routers whose traffic is ``part`` times the mean."""
-        base = max(SMALLEST_SUBSET, round(ENGINES_PER_PART * len(self.engines) / len(self.routers)))
-        parts = np.ones(len(self.routers)) if part is None else np.clip(part, 1.0, LARGEST_PART)
-        return np.minimum(np.rint(base * parts).astype(np.int64), len(self.engines))
+    def subset_sizes(self, relative_traffic: Floats | None = None) -> Integers:
+        """Engines in each router's subset, for routers with multiples of the mean traffic (default 1)."""
+        engines_per_router = len(self.engines) / len(self.routers)
+        base = max(MIN_SUBSET_SIZE, round(ENGINES_PER_ROUTER_FACTOR * engines_per_router))
+        if relative_traffic is None:
+            factors = np.ones(len(self.routers))
+        else:
+            factors = np.clip(relative_traffic, 1.0, MAX_RELATIVE_TRAFFIC)
+        return np.minimum(np.rint(base * factors).astype(np.int64), len(self.engines))
+
+    def base_subset_size(self) -> int:
+        """Engines in the subset of a router with mean traffic."""
+        return int(self.subset_sizes().max())
 
 
 def make_fleet(routers: int, engines: int, zones: int, rng: np.random.Generator) -> Fleet:
-    """Engines with random identities, dealt to the zones at random in even numbers; so are the routers."""
+    """Engines with random identities, assigned to the zones at random in equal numbers, and routers alike."""
     keys = rng.integers(0, 2**64, engines, dtype=np.uint64)
     engine_zones = rng.permutation(np.arange(engines, dtype=np.int64) % zones)
     numbers = np.arange(routers, dtype=np.int64)
@@ -112,7 +118,7 @@
 
 
 def mix(values: Keys) -> Keys:
-    """A hash of 64-bit values: the finalizer of splitmix64, which stands here for the product's blake2b."""
+    """A hash of 64-bit values: the finalizer of splitmix64, in place of the product's blake2b."""
     with np.errstate(over="ignore"):
         values = (values ^ (values >> np.uint64(30))) * np.uint64(0xBF58476D1CE4E5B9)
         values = (values ^ (values >> np.uint64(27))) * np.uint64(0x94D049BB133111EB)
@@ -120,10 +126,10 @@
 
 
 def positions(keys: Keys) -> Floats:
-    """Where hashes lie on a circle from 0 to 1."""
+    """Positions of hashes on a circle from 0 to 1."""
     return (keys >> np.uint64(11)).astype(np.float64) / float(2**53)
 
 
 def router_positions(numbers: Integers) -> Floats:
-    """Where routers lie on the circle: blocks and strides of numbers are spread evenly."""
+    """Positions of routers on the circle: blocks and strides of numbers are spread evenly."""
     return (numbers * GOLDEN_RATIO % 1.0).astype(np.float64)
--- a/tests/test_lab_subsets.py
+++ b/tests/test_lab_subsets.py
@@ -10,23 +10,14 @@
 import pytest
 
 from grebeproxy.lab.record import load_record
-from grebeproxy.lab.subsets.cost import ONE_ROUTER, CircleRouter
 from grebeproxy.lab.subsets.fleet import Fleet, make_fleet, with_routers
-from grebeproxy.lab.subsets.measures import (
-    Pairs,
-    cold_budget,
-    cold_budget_between_lists,
-    fleet_pairs,
-    load_of,
-    measure,
-    moved,
-    shares,
-    shifted,
-    subset_pairs,
-    traffics,
-    zone_pairs,
-)
-from grebeproxy.lab.subsets.schemes import NONE, SCHEMES, PointCircle, RankWindows, Rounds, Scheme
+from grebeproxy.lab.subsets.measures import measure
+from grebeproxy.lab.subsets.pairs import Pairs, changed_fraction, fleet_pairs, subset_pairs, zone_pairs
+from grebeproxy.lab.subsets.router_subsets import BUILDERS, CircleRouter
+from grebeproxy.lab.subsets.schemes import SCHEMES, PointCircle, RankWindows, Rounds, Scheme
+from grebeproxy.lab.subsets.traffic import engine_loads, rebalanced, split_traffic, traffic_patterns
+from grebeproxy.lab.subsets.warm_up import warm_up_budget, warm_up_budget_between_lists
+from grebeproxy.lab.subsets.windows import NO_ENGINE
 
 CIRCLES = [scheme for scheme in SCHEMES if isinstance(scheme, PointCircle)]
 SIZES = [(24, 40, 6), (7, 19, 1), (200, 80, 6), (60, 400, 3)]
@@ -49,11 +40,11 @@
     scheme: Scheme, size: tuple[int, int, int]
 ) -> None:
     fleet = fleet_of(*size)
-    own = fleet.own(traffics(len(fleet.routers), np.random.default_rng(1))["lognormal"])
+    own = fleet.subset_sizes(traffic_patterns(len(fleet.routers), np.random.default_rng(1))["lognormal"])
     rows = scheme.windows(fleet.engines, fleet.routers, own)
     assert len(rows) == len(fleet.routers)
     for row, wanted in zip(rows.tolist(), own.tolist(), strict=True):
-        engines = [engine for engine in row if engine != NONE]
+        engines = [engine for engine in row if engine != NO_ENGINE]
         assert len(set(engines)) == len(engines) <= wanted
         assert set(engines) <= set(fleet.engines.number.tolist())
         # An engine with several points may stand in a window twice; the whole list is had whole.
@@ -68,9 +59,9 @@
     shuffled = np.random.default_rng(5).permutation(400)
     engines = fleet.engines
     relisted = type(engines)(engines.number[shuffled], engines.key[shuffled], engines.zone[shuffled])
-    own = fleet.own()
+    own = fleet.subset_sizes()
     first = Pairs.of(fleet, scheme.windows(engines, fleet.routers, own))
-    assert moved(first, Pairs.of(fleet, scheme.windows(relisted, fleet.routers, own))) == 0.0
+    assert changed_fraction(first, Pairs.of(fleet, scheme.windows(relisted, fleet.routers, own))) == 0.0
 
 
 @pytest.mark.parametrize("scheme", CIRCLES, ids=lambda scheme: scheme.name)
@@ -103,7 +94,7 @@
     fleet = fleet_of(600, 800, 6)
     before = subset_pairs(RankWindows(), fleet)
     after = subset_pairs(RankWindows(), with_routers(fleet, 540))
-    assert moved(before.where(before.router < 540), after) > 0.5
+    assert changed_fraction(before.where(before.router < 540), after) > 0.5
 
 
 def test_rank_windows_and_rounds_give_all_engines_equally_many_routers() -> None:
@@ -124,8 +115,8 @@
     sharers = scheme.sharers(fleet.engines, fleet.routers, own)
     wide = np.full(len(fleet.routers), own, dtype=np.int64)
     pairs = Pairs.of(fleet, scheme.windows(fleet.engines, fleet.routers, wide))
-    told = set(zip(fleet.engines.number[sharers.engine].tolist(), sharers.router.tolist(), strict=True))
-    assert told == set(zip(pairs.engine.tolist(), pairs.router.tolist(), strict=True))
+    counted = set(zip(fleet.engines.number[sharers.engine].tolist(), sharers.router.tolist(), strict=True))
+    assert counted == set(zip(pairs.engine.tolist(), pairs.router.tolist(), strict=True))
     for place, count in enumerate(sharers.count.tolist()):
         ranks = sharers.rank[sharers.engine == place].tolist()
         assert len(set(ranks)) == len(ranks) and set(ranks) <= set(range(count))
@@ -148,7 +139,7 @@
 
 def test_counting_sharers_by_ones_own_width_gives_out_more_than_the_whole() -> None:
     """The fault that dealing by the base window alone mends: both are measured, and only one is above 1."""
-    values = cold_budget(PointCircle(points=4), fleet_of(600, 800, 6), np.random.default_rng(1))
+    values = warm_up_budget(PointCircle(points=4), fleet_of(600, 800, 6), np.random.default_rng(1))
     assert values["cold.base_worst"] <= 1.0 < values["cold.own_lognormal_worst"]
     assert values["cold.own_lognormal_worst"] <= 1.0 + np.log(8.0)
     assert values["cold.counts_tenth_worst"] > 1.0
@@ -156,7 +147,7 @@
 
 def test_while_lists_differ_an_engine_gets_about_its_budget() -> None:
     for scheme in (RankWindows("rank-golden", golden=True), PointCircle(points=4)):
-        values = cold_budget_between_lists(scheme, fleet_of(600, 800, 6), np.random.default_rng(1))
+        values = warm_up_budget_between_lists(scheme, fleet_of(600, 800, 6), np.random.default_rng(1))
         assert 0.9 < values["cold.lists_rack_mean"] < 1.1
         assert 1.0 <= values["cold.lists_engine_worst"] < 2.0
 
@@ -164,14 +155,14 @@
 @pytest.mark.parametrize("pairs_of", [fleet_pairs, zone_pairs, subset_pairs])
 def test_shares_keep_each_routers_traffic_and_shifting_evens_the_load(pairs_of: object) -> None:
     fleet = fleet_of(600, 800, 6)
-    traffic = traffics(600, np.random.default_rng(1))["heavy"]
+    traffic = traffic_patterns(600, np.random.default_rng(1))["heavy"]
     assert callable(pairs_of)
     pairs: Pairs = pairs_of(PointCircle(points=4), fleet)
-    even = shares(pairs, np.ones(len(pairs.router)), traffic)
-    after = shifted(pairs, even, traffic, 5)
+    even = split_traffic(pairs, np.ones(len(pairs.router)), traffic)
+    after = rebalanced(pairs, even, traffic, 5)
     for share in (even, after):
         assert np.allclose(np.bincount(pairs.router, weights=share), traffic)
-    assert load_of(pairs, after).max() < 0.8 * load_of(pairs, even).max()
+    assert engine_loads(pairs, after).max() < 0.8 * engine_loads(pairs, even).max()
 
 
 def test_four_points_are_evened_better_than_one() -> None:
@@ -183,10 +174,10 @@
     assert four["moved.rack_over_least"] == one["moved.rack_over_least"] == 1.0
 
 
-@pytest.mark.parametrize("name", sorted(ONE_ROUTER))
+@pytest.mark.parametrize("name", sorted(BUILDERS))
 def test_one_router_comes_to_the_same_by_changes_as_from_the_whole_list(name: str) -> None:
     ids = [f"s-{number:08x}" for number in range(120)]
-    build = ONE_ROUTER[name]
+    build = BUILDERS[name]
     changed = build(ids[:100], 11, 40, 8)
     for engine in ids[100:]:
         changed.add(engine)
