--- a/grebeproxy/lab/capacity/measure/command.py
+++ b/grebeproxy/lab/capacity/measure/command.py
@@ -15,12 +15,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """One subcommand: ``take`` measures at the sizes, with a seed, and returns a point for each."""
+    """One subcommand: ``run`` measures at the sizes, with a seed, and returns a point for each."""
 
     name: str
     summary: str
     sizes: tuple[int, ...]
-    take: Callable[[tuple[int, ...], int], Sequence[Point]]
+    run: Callable[[tuple[int, ...], int], Sequence[Point]]
 
 
 MEASUREMENTS = (
@@ -38,19 +38,19 @@
     ),
     Measurement(
         "rates",
-        "CPU of a whole statement in a real process against statements a second, with few engines.",
+        "CPU of a complete statement in a real process against statements a second, with few engines.",
         end_to_end.RATES,
         end_to_end.against_rate,
     ),
     Measurement(
         "whole",
-        "CPU of a whole statement in a real process against the fleet's engines, few a second.",
+        "CPU of a complete statement in a real process against the fleet's engines, few a second.",
         end_to_end.ENGINES,
         end_to_end.against_engines,
     ),
     Measurement(
         "busy",
-        "CPU of a whole statement in a real process against the fleet's engines, "
+        "CPU of a complete statement in a real process against the fleet's engines, "
         "at 2,083 statements a second.",
         end_to_end.ENGINES,
         lambda sizes, seed: end_to_end.against_engines(sizes, seed, end_to_end.RATES[-1]),
@@ -63,7 +63,7 @@
     ),
     Measurement(
         "enginelist",
-        "Bytes, CPU and memory of the engine list, whole and as a change of one engine.",
+        "Bytes, CPU and memory of the engine list, as a full list and as a change of one engine.",
         engine_list.ENGINES,
         engine_list.measure,
     ),
@@ -75,7 +75,7 @@
     ),
     Measurement(
         "cold",
-        "What cold engines get from all routers together, over their budget, on a simulated clock.",
+        "What engines in slow start get from all routers together, over their budget, on a simulated clock.",
         slow_start.ROUTERS,
         slow_start.measure,
     ),
@@ -96,7 +96,7 @@
     @click.option("--json", "path", type=click.Path(dir_okay=False, path_type=Path), help="Write the record.")
     @click.option("--note", default="", help="A note on the circumstances, for the record.")
     def command(sizes: tuple[int, ...], seed: int, path: Path | None, note: str) -> None:
-        points = tuple(measurement.take(sizes, seed))
+        points = tuple(measurement.run(sizes, seed))
         record = record_now(measurement.name, invocation(), seed, points, note)
         for point in points:
             click.echo(_line(point))
--- a/grebeproxy/lab/capacity/measure/engine_list.py
+++ b/grebeproxy/lab/capacity/measure/engine_list.py
@@ -72,7 +72,7 @@
 
 
 def _changed_engines(engines: int) -> list[int]:
-    """Engines spread over the whole list, one for each change."""
+    """Engines spread over the list, one for each change."""
     return [number * engines // CHANGES_PER_RUN for number in range(CHANGES_PER_RUN)]
 
 
--- a/grebeproxy/lab/capacity/page.py
+++ b/grebeproxy/lab/capacity/page.py
@@ -4,7 +4,7 @@
 
 - ``target:NAME``, ``figure:ROW.FIELD`` (``value``, ``budget``, ``times``, ``slope``, ``residual``,
   ``beyond``, or ``measured`` where the target was one of the sizes);
-- ``table:ROLE`` (what the role takes, and the evidence), ``ranking:STAGE``, ``choice:STAGE``, with
+- ``table:ROLE`` (what the role needs, and the evidence), ``ranking:STAGE``, ``choice:STAGE``, with
   ``before`` or ``now`` as the stage;
 - ``bounds``, ``records``;
 - ``include:FILE``, a file of ``docs/capacity`` whose placeholders are replaced as well;
@@ -27,7 +27,7 @@
 from grebeproxy.lab.capacity.numbers import format_number, format_percent, format_with_unit
 from grebeproxy.lab.capacity.placeholders import PLACEHOLDER, Placeholder
 from grebeproxy.lab.capacity.rows import ROLES, Bound, Number, Row, Stage
-from grebeproxy.lab.record import Record, RecordError, load_record
+from grebeproxy.lab.record import RecordError, load_record
 
 PAGE = "CAPACITY.md"
 FOLDER = "capacity"
@@ -152,9 +152,9 @@
     def _ranked(self, stage: str) -> list[Figure]:
         return ranking([self.figures.of(row.id) for row in self.rows], Stage(stage))
 
-    def _records(self) -> list[tuple[str, Record]]:
+    def _records(self) -> list[tables.RecordFile]:
         used = sorted({row.record for row in self.rows if row.record})
-        return [(file, load_record(self.folder / file)) for file in used]
+        return [tables.RecordFile(file, load_record(self.folder / file)) for file in used]
 
     def _included(self, file: str) -> str:
         return self._filled((self.folder / file).read_text()).rstrip("\n")
--- a/grebeproxy/lab/capacity/tables.py
+++ b/grebeproxy/lab/capacity/tables.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
+from typing import NamedTuple
 
 from grebeproxy.lab.capacity.figures import Figure, Figures
 from grebeproxy.lab.capacity.fit import Fit, Model
@@ -22,6 +23,13 @@
 STAGES = {Stage.BOTH: "", Stage.BEFORE: " (before)", Stage.NOW: " (now)"}
 
 
+class RecordFile(NamedTuple):
+    """A record and the name of its file."""
+
+    file: str
+    record: Record
+
+
 def table(head: Sequence[str], lines: Iterable[Sequence[str]]) -> str:
     """A Markdown table."""
     rule = ["---"] * len(head)
@@ -180,16 +188,17 @@
     return (f"`{file}`", f"`{bound.name or bound.line}`", value, needs, bound.text)
 
 
-def records_table(records: Sequence[tuple[str, Record]]) -> str:
+def records_table(records: Sequence[RecordFile]) -> str:
     """The runs behind the page."""
     head = ("record", "command", "commit", "recorded", "machine", "seed", "points", "note")
-    return table(head, (_record(file, record) for file, record in records))
+    return table(head, (_record(one) for one in records))
 
 
-def _record(file: str, record: Record) -> tuple[str, ...]:
+def _record(recorded: RecordFile) -> tuple[str, ...]:
+    record = recorded.record
     machine = f"{record.machine.cores} cores, {record.machine.memory_mb:,} MB, Python {record.machine.python}"
     return (
-        f"`{file}`",
+        f"`{recorded.file}`",
         f"`{record.command}`",
         f"`{record.commit}`",
         record.recorded_at,
--- a/grebeproxy/lab/control/command.py
+++ b/grebeproxy/lab/control/command.py
@@ -24,7 +24,7 @@
 class Measurement:
     """One measurement of the control code, with the fleet sizes it runs at by default.
 
-    ``measure`` takes a fleet size and a seed.
+    ``measure`` is called with a fleet size and a seed.
     """
 
     name: str
--- a/grebeproxy/lab/control/converged.py
+++ b/grebeproxy/lab/control/converged.py
@@ -16,7 +16,7 @@
 def set_known_members(core: Node, facts: Iterable[Fact], now: float) -> None:
     """Give a new node the state of one that has long known these members, and whose votes count.
 
-    Sets private state, because a member learned by a message would be news to pass on by gossip.
+    Sets private state, because members learned from messages would be spread further by gossip.
     """
     own_name = core.config.member.name
     core.members.facts.update((fact.name, fact) for fact in facts if fact.name != own_name)
--- a/grebeproxy/lab/control/outage.py
+++ b/grebeproxy/lab/control/outage.py
@@ -97,12 +97,12 @@
     """Two halves: the time until no router on either side is quorate, and until all views agree again."""
     fleet = converged_fleet(size, seed, SETTLING_SECONDS)
     _partition(fleet, lambda router: zone(router) < FIRST_ZONE_OF_SECOND_REGION)
-    parted = _observe(fleet, range(size), lambda: _quorate(fleet) == 0)
-    _wait_for_end_of_outage(fleet, parted)
+    partitioned = _observe(fleet, range(size), lambda: _quorate(fleet) == 0)
+    _wait_for_end_of_outage(fleet, partitioned)
     quorate = _quorate(fleet)
     fleet.partitioned = None
     healed = _observe_convergence(fleet, range(size))
-    values = {**parted.values("regions_parted"), **healed.values("regions_healed")}
+    values = {**partitioned.values("regions_parted"), **healed.values("regions_healed")}
     return {**values, "regions_parted_quorate_routers": quorate}
 
 
@@ -140,7 +140,7 @@
         except NotReachedError:
             seconds = INTERVAL_SECONDS
         current = _bytes_sent(fleet, routers)
-        # The last interval may be shorter, and counts only where there is no whole one.
+        # The last interval may be shorter, and counts only where there is no other one.
         if seconds >= INTERVAL_SECONDS or max_interval_bytes == 0:
             max_interval_bytes = max(max_interval_bytes, *_differences(current, last))
         last = current
--- a/tests/test_lab_subsets.py
+++ b/tests/test_lab_subsets.py
@@ -1,4 +1,4 @@
-"""Ways to give routers subsets of the engines: what each promises, and the command that compares them."""
+"""Ways to give routers subsets of the engines: their properties, and the command that compares them."""
 
 from __future__ import annotations
 
@@ -124,21 +124,21 @@
             assert len(ranks) == count
 
 
-@pytest.mark.parametrize("whole", [0, 1, 5, 12, 37])
-@pytest.mark.parametrize("turn", [0, 1, 7, 2**32 - 1])
-def test_parts_of_a_cold_engine_sum_to_the_whole_or_less(whole: int, turn: int) -> None:
+@pytest.mark.parametrize("total", [0, 1, 5, 12, 37])
+@pytest.mark.parametrize("rotation", [0, 1, 7, 2**32 - 1])
+def test_parts_of_a_warming_engine_sum_to_the_total_or_less(total: int, rotation: int) -> None:
     fleet = fleet_of(600, 800)
     for scheme in CIRCLES:
         sharers = scheme.sharers(fleet.engines, fleet.routers, 16)
-        given = np.bincount(sharers.engine, weights=sharers.parts(whole, turn), minlength=800)
+        given = np.bincount(sharers.engine, weights=sharers.parts(total, rotation), minlength=800)
         shared = sharers.count > 0
-        assert given.max() <= whole
+        assert given.max() <= total
         if scheme.points == 1:
-            assert (given[shared] == whole).all()
+            assert (given[shared] == total).all()
 
 
-def test_counting_sharers_by_ones_own_width_gives_out_more_than_the_whole() -> None:
-    """The fault that dealing by the base window alone mends: both are measured, and only one is above 1."""
+def test_counting_sharers_by_ones_own_size_exceeds_the_budget() -> None:
+    """The reason to divide by the base subset size alone: both are measured, and only one exceeds 1."""
     values = warm_up_budget(PointCircle(points=4), fleet_of(600, 800, 6), np.random.default_rng(1))
     assert values["cold.base_worst"] <= 1.0 < values["cold.own_lognormal_worst"]
     assert values["cold.own_lognormal_worst"] <= 1.0 + np.log(8.0)
