--- a/grebeproxy/lab/capacity/measure/cold.py
+++ b/grebeproxy/lab/capacity/measure/cold.py
@@ -95,6 +95,6 @@
 def _allowed(at: float, rules: api.Rules) -> float:
     """Statements of mean work that an engine may get in the window that ends then, and what chance adds."""
     age = max(0.0, at - rules.overload_time / 2 - STARTED)
-    warmth = rules.cold_fraction + (1.0 - rules.cold_fraction) * age / rules.ramp_time
+    warmth = rules.slow_start_fraction + (1.0 - rules.slow_start_fraction) * age / rules.slow_start_time
     budget = rules.overload_factor * rules.overload_time * BUSY * CORES * warmth / MEAN_WORK
     return budget + 2.0 * sqrt(budget) + 2.0
--- a/grebeproxy/net/messages.py
+++ b/grebeproxy/net/messages.py
@@ -26,7 +26,7 @@
     limit: float
     body: bytes
     tenant: str | None = None
-    resent: bool = False
+    is_client_retry: bool = False
     token: str | None = None
     work: float | None = None
     memory_mb: float | None = None
--- a/grebeproxy/net/msgpack_rpc.py
+++ b/grebeproxy/net/msgpack_rpc.py
@@ -23,7 +23,7 @@
     Served,
     ToClient,
 )
-from grebeproxy.policy.interface import Effect, Settings
+from grebeproxy.policy.interface import Idempotency, Settings
 from grebeproxy.shapes.scanner import table_group
 
 REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2
@@ -82,8 +82,8 @@
     """
 
     def __init__(self, settings: Settings) -> None:
-        self._effects: dict[str, Effect] = {}
-        self._now: dict[str, Effect] = {}
+        self._idempotency: dict[str, Idempotency] = {}
+        self._now: dict[str, Idempotency] = {}
         self.retune(settings)
         self._buffer = bytearray()
         self._at, self._left = 0, 1  # so much of a message is read, and so many values of it are to come
@@ -95,8 +95,8 @@
         Classes of the settings before can still be read, as clients may not know yet: what becomes of such a
         request is for the router to decide.
         """
-        before, self._now = self._now, {cls.name: cls.effect for cls in settings.classes}
-        self._effects = before | self._now
+        before, self._now = self._now, {cls.name: cls.idempotency for cls in settings.classes}
+        self._idempotency = before | self._now
         self._tenants = {tenant.name for tenant in settings.tenants}
         self._most_mb = max(kind.memory_mb for kind in settings.kinds) or 1e6
 
@@ -172,7 +172,7 @@
                 limit=_number(fields, "limit") / 1000,
                 body=body,
                 tenant=self._tenant(fields),
-                resent=_optional(fields, "second", _any) == "1",
+                is_client_retry=_optional(fields, "second", _any) == "1",
                 token=self._token(cls, fields),
                 work=_number(fields, "cpu") / 1000 if "cpu" in fields else None,
                 memory_mb=_number(fields, "mb", self._most_mb) if "mb" in fields else None,
@@ -183,7 +183,7 @@
             return Invalid(msg, error.args[0])
 
     def _class(self, cls: str) -> str:
-        if cls not in self._effects:
+        if cls not in self._idempotency:
             raise _FieldError("method")
         return cls
 
@@ -193,7 +193,9 @@
         return _text(fields, "team", self._tenants.__contains__)
 
     def _token(self, cls: str, fields: dict[Any, Any]) -> str | None:
-        if self._effects[cls] is Effect.KEYED:  # without it a second try would run as a second request
+        if (
+            self._idempotency[cls] is Idempotency.IDEMPOTENCY_KEY
+        ):  # without it a second try would run as a second request
             return _text(fields, "unique", TOKEN.fullmatch)
         return _optional(fields, "unique", TOKEN.fullmatch)
 
--- a/grebeproxy/net/router/base.py
+++ b/grebeproxy/net/router/base.py
@@ -19,7 +19,7 @@
 
 def on_sockets(settings: api.Settings) -> api.Settings:
     """Probes, messages between routers and asking for the list have no form on sockets."""
-    return replace(settings, may_probe=False, may_message=False, asks_for_list=False)
+    return replace(settings, may_health_check=False, may_gossip=False, polls_engine_list=False)
 
 
 def deadlines(settings: api.Settings) -> dict[str, float]:
--- a/grebeproxy/net/router/clients.py
+++ b/grebeproxy/net/router/clients.py
@@ -82,7 +82,7 @@
                     data_set=call.data_set,
                     work=call.work,
                     memory_mb=call.memory_mb,
-                    resent=call.resent,
+                    is_client_retry=call.is_client_retry,
                 )
             )
 
@@ -95,7 +95,7 @@
     def _abandon(self, request: Request) -> None:
         """The client waits no more: nothing is owed, and what runs for it is given up."""
         self._settle(request)
-        self._pending.append(api.Gone(request.call.txn))
+        self._pending.append(api.ClientDisconnected(request.call.txn))
         if request.in_flight is not None:
             self._give_up(request.in_flight, api.Outcome.CANCELLED)
         self._forget(request)
--- a/grebeproxy/net/router/operating.py
+++ b/grebeproxy/net/router/operating.py
@@ -45,7 +45,7 @@
         self.limits = limits
         if settings != self.settings:
             self.settings, self._deadlines = settings, deadlines(settings)
-            self._pending.append(api.Retuned(settings))
+            self._pending.append(api.SettingsChanged(settings))
             self._effects.append(LogLine("other settings hold"))
 
     def _on_admin_opened(self, conn: int) -> None:
@@ -97,7 +97,7 @@
         for engine in disabled - self._disabled_engines:
             self._retire(engine)
         self._disabled_engines = disabled
-        self._pending.append(api.ByHand(disabled))
+        self._pending.append(api.ManualOverridesChanged(disabled))
 
     def _stop(self) -> None:
         """Leave: clients are moved off between requests, what was taken is answered, then it ends."""
@@ -115,7 +115,7 @@
 
     def _answer_all(self) -> None:
         """Guards what was taken before the stop, and is allowed longer than the program has left."""
-        safe = {cls.name for cls in self.settings.classes if cls.effect is api.Effect.SAFE}
+        safe = {cls.name for cls in self.settings.classes if cls.idempotency is api.Idempotency.IDEMPOTENT}
         for request in [request for request in self._requests.values() if request.owed]:
             msg, later = request.call.msg, self.settings.max_retry_after
             self._answer(request, Rejected(msg, later) if request.call.cls in safe else Failed(msg))
--- a/grebeproxy/net/router/reducer.py
+++ b/grebeproxy/net/router/reducer.py
@@ -251,9 +251,9 @@
             case api.SetTerms():
                 if action.id in self._requests:
                     self._requests[action.id].memory_mb = action.memory_mb
-            case api.Refuse():
+            case api.Reject():
                 if (request := self._requests.get(action.id)) is not None:
-                    self._answer(request, Rejected(request.call.msg, action.come_back))
+                    self._answer(request, Rejected(request.call.msg, action.retry_after))
             case api.Fail():
                 if (request := self._requests.get(action.id)) is not None:
                     self._answer(request, Failed(request.call.msg))
--- a/grebeproxy/policy/books.py
+++ b/grebeproxy/policy/books.py
@@ -15,7 +15,7 @@
     Engine,
     EngineList,
     EngineState,
-    Kind,
+    EngineKind,
     ListKind,
     Progress,
     ProgressKind,
@@ -92,7 +92,7 @@
         self.homes: dict[int, tuple[float, dict[str, int]]] = {}  # home engines by data set, of this moment
         self.taken, self.extra = Window(), Window()  # queries, and attempts beyond a first
 
-    def ranked(self, order: list[QueryClass], usual: list[float], kinds: tuple[Kind, ...]) -> None:
+    def ranked(self, order: list[QueryClass], usual: list[float], kinds: tuple[EngineKind, ...]) -> None:
         """Book the classes in their order. What was learned of one stays with its name; queries keep theirs.
 
         ``usual`` is what work is taken for usual at first; it stands too where a class means other work now.
@@ -100,7 +100,9 @@
         places = [self.rank.get(c.name) for c in order]
         same = [
             place
-            if place is not None and (self.order[place].aim, self.order[place].threads) == (c.aim, c.threads)
+            if place is not None
+            and (self.order[place].latency_objective, self.order[place].threads)
+            == (c.latency_objective, c.threads)
             else None
             for place, c in zip(places, order, strict=True)
         ]
@@ -112,15 +114,15 @@
         self.costs = [Ratio() if at is None else self.costs[at] for at in places]
         self.memories = [Ratio() if at is None else self.memories[at] for at in places]
         self.order, self.rank = order, {c.name: i for i, c in enumerate(order)}
-        ends = [(c.aim, c.deadline) for c in order]
+        ends = [(c.latency_objective, c.deadline) for c in order]
         for job in self.jobs.values():
-            at = min(len(order) - 1, bisect_left(ends, (job.cls.aim, job.cls.deadline)))
+            at = min(len(order) - 1, bisect_left(ends, (job.cls.latency_objective, job.cls.deadline)))
             if job.node is not None:
                 job.node.book(job, -1)
             job.rank = self.rank.get(job.cls.name, at)
             if job.node is not None:
                 job.node.book(job, 1)
-        runs = [u / c.threads for u, c in zip(self.usual, order, strict=True) if c.holds_data_set]
+        runs = [u / c.threads for u, c in zip(self.usual, order, strict=True) if c.locks_data_set]
         self.hold = max(runs, default=0.0)  # so long what stood still behind one keeps others away
         waiting = [job for queue in self.held for job in queue]
         self.held = [[job for job in waiting if job.rank == rank] for rank in range(len(order))]
@@ -263,14 +265,14 @@
         """Book a note on an attempt that is out."""
         if (e := self.nodes.get(note.engine)) is not None:
             e.heard = self.now
-            if (job := self.jobs.get(note.id)) and note.kind is ProgressKind.SHARE_DONE:
+            if (job := self.jobs.get(note.id)) and note.kind is ProgressKind.FRACTION_DONE:
                 job.progressed(self.now, note.attempt, note.value)
 
     def counted(self, query: Query, cls: QueryClass, work: float) -> None:
         """Count a query into the flows of its data set, of all queries and of the time that loads run."""
         self.sets.at(query.data_set, self.now).add(self.now, 1.0)
         self.asked.add(self.now, 1.0)
-        if cls.holds_data_set:
+        if cls.locks_data_set:
             self.loads.add(self.now, work / cls.threads)
 
     def draw(self) -> float:
--- a/grebeproxy/policy/health.py
+++ b/grebeproxy/policy/health.py
@@ -1,6 +1,6 @@
 """The health of engines: which are left out, and what outcomes tell."""
 
-from grebeproxy.policy.interface import AttemptEnded, Effect, Outcome
+from grebeproxy.policy.interface import AttemptEnded, Idempotency, Outcome
 from grebeproxy.policy.records import Job, Node
 from grebeproxy.policy.rules import Rules
 
@@ -18,7 +18,12 @@
         return (
             self.now >= e.shut_until
             if e.ejected_at is None
-            else (self.now >= e.trial_at and not e.out and not rank and self.tight.effect is Effect.SAFE)
+            else (
+                self.now >= e.trial_at
+                and not e.out
+                and not rank
+                and self.tight.idempotency is Idempotency.IDEMPOTENT
+            )
         )
 
     def _eject(self, e: Node, proven: bool = False) -> None:
@@ -26,10 +31,10 @@
         able = sum(n.ejected_at is None for n in self.up)
         if not proven and e.ejected_at is None and 2 * able <= len(self.up) + 1:
             return
-        e.backoff = min(8 * self.tight.aim, e.backoff * 2) or self.tight.aim / 2
+        e.backoff = min(8 * self.tight.latency_objective, e.backoff * 2) or self.tight.latency_objective / 2
         e.ejected_at, e.trial_at = self.now, self.now + e.backoff * (0.75 + 0.5 * self.rng.random())
         for job in e.out.values() if self.s.may_cancel else ():
-            if not (job.cancelled or job.answered or job.cls.effect is Effect.UNSAFE) and (
+            if not (job.cancelled or job.answered or job.cls.idempotency is Idempotency.NON_IDEMPOTENT) and (
                 job.attempts < self.s.max_attempts
             ):
                 self.cancel(job)
@@ -56,8 +61,8 @@
             e.heard, e.still = self.now, 0
         if ev.outcome is Outcome.FULL:
             # One that refuses at once would look idle: nothing goes there for a doubling while.
-            e.shut = min(self.tight.aim, 2 * e.shut) or self.pause
-            e.shut_until, e.full_until = self.now + e.shut, self.now + e.shut + self.tight.aim
+            e.shut = min(self.tight.latency_objective, 2 * e.shut) or self.pause
+            e.shut_until, e.full_until = self.now + e.shut, self.now + e.shut + self.tight.latency_objective
         # Guards against queries that none can use: an error counts once another has answered, or none is to.
         first, job.erred = job.erred, None
         if ev.outcome is Outcome.ERROR and e.ejected_at is None and not job.answered:
@@ -77,7 +82,10 @@
             self._eject(e)  # again only for a trial that failed, not for what was out before
         # Weighted by run time: short queries have priority in the engine and tell little of its crowding.
         run = ev.work / job.cls.threads if ev.work else job.run
-        weight, took = min(0.5, max(0.02, run / self.tight.aim / 4)), min(10.0, ev.latency / max(run, 1e-4))
+        weight, took = (
+            min(0.5, max(0.02, run / self.tight.latency_objective / 4)),
+            min(10.0, ev.latency / max(run, 1e-4)),
+        )
         slow = took * self._warmth(e)  # a cold one is slow without being crowded
         if ok or slow > self.paces[self._warming_up(e)]:  # an error comes soon
             self.paces[self._warming_up(e)] += weight * (slow - self.paces[self._warming_up(e)])
@@ -93,7 +101,7 @@
             if e.unreachable and not self._warming_up(e):
                 e.cold_since = self.now  # it was down: take it for cold, whatever the list says
             e.unreachable = False
-        e.backoff, e.shut = max(self.tight.aim / 2, e.backoff * 0.9) if e.backoff else 0.0, 0.0
+        e.backoff, e.shut = max(self.tight.latency_objective / 2, e.backoff * 0.9) if e.backoff else 0.0, 0.0
         if ev.work:
             self.usual[job.rank] += 0.03 * (ev.work - self.usual[job.rank])
         self.billed(job, ev.work, ev.memory_mb, KEEP, MOST_BILL)
--- a/grebeproxy/policy/interface.py
+++ b/grebeproxy/policy/interface.py
@@ -11,12 +11,12 @@
 from typing import Union
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """How far a query may be repeated once it may have run."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    IDEMPOTENCY_KEY = "keyed"
+    NON_IDEMPOTENT = "unsafe"
 
 
 class Scope(Enum):
@@ -73,7 +73,7 @@
 class ProgressKind(Enum):
     """What a note on a running attempt tells."""
 
-    SHARE_DONE = 1
+    FRACTION_DONE = 1
     SPILLS_MB = 2
     WAITS = 3
 
@@ -83,25 +83,25 @@
     """One class of query; its aim is ``aim + aim_stretch * work / threads``."""
 
     name: str
-    aim: float
+    latency_objective: float
     deadline: float
-    worth: float = 1.0
-    late_share: float = 0.0
-    aim_stretch: float = 0.0
-    effect: Effect = Effect.SAFE
+    priority_weight: float = 1.0
+    late_weight_factor: float = 0.0
+    objective_stretch: float = 0.0
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
     scope: Scope = Scope.ALL
-    repeat_window: float = 0.0
-    in_order: bool = False
-    only_zones: frozenset[str] | None = None
-    only_kinds: frozenset[str] | None = None
+    retry_window: float = 0.0
+    ordered_by_key: bool = False
+    allowed_zones: frozenset[str] | None = None
+    allowed_kinds: frozenset[str] | None = None
     threads: int = 1
-    holds_data_set: bool = False
+    locks_data_set: bool = False
     waits_for_loads: bool = False
     streams: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class EngineKind:
     """A kind of engine machine."""
 
     name: str
@@ -133,12 +133,12 @@
 
     answer_slack: float = 0.0
     drain_grace: float = 0.0
-    cold_fraction: float = 1.0
-    ramp_time: float = 0.0
+    slow_start_fraction: float = 1.0
+    slow_start_time: float = 0.0
     overload_factor: float = 1.0
     overload_time: float = 0.0
-    settle_time: float = 0.0
-    list_expires: float | None = None
+    key_settle_time: float = 0.0
+    list_max_age: float | None = None
     attempt_budget: AttemptBudget | None = None
 
 
@@ -158,13 +158,13 @@
     """All that a gateway is told when it starts. Wrong values raise ``ValueError`` naming the field."""
 
     classes: tuple[QueryClass, ...]
-    kinds: tuple[Kind, ...]
+    kinds: tuple[EngineKind, ...]
     balancers: int = 1
     index: int = 0
     zone: str = ""
     zones: tuple[str, ...] = ("",)
     tenants: tuple[Tenant, ...] = ()
-    over_share_worth: float = 1.0
+    over_quota_weight: float = 1.0
     rules: Rules = field(default_factory=Rules)
     prices: Prices = field(default_factory=Prices)
     tick: float = 0.0
@@ -172,17 +172,17 @@
     max_retry_after: float | None = None
     connect_timeout: float | None = None
     may_cancel: bool = False
-    may_probe: bool = False
-    may_message: bool = False
-    second_copies: bool = False
-    asks_for_list: bool = False
+    may_health_check: bool = False
+    may_gossip: bool = False
+    may_hedge: bool = False
+    polls_engine_list: bool = False
     clients_mark_retries: bool = False
     memory_granted: bool = False
     largest_grant: float = 1.0
     overbooked: Overbooked = Overbooked.WAIT
     priorities: bool = False
     progress_period: float | None = None
-    bills_work: bool = False
+    reports_work: bool = False
     reports: tuple[str, ...] = ()
 
     def __post_init__(self) -> None:
@@ -207,14 +207,17 @@
         known_kinds = {kind.name for kind in self.kinds}
         for cls in self.classes:
             where = f"classes[{cls.name}]"
-            if cls.aim <= 0 or cls.deadline <= 0:
-                raise ValueError(f"{where}.{'aim' if cls.aim <= 0 else 'deadline'}: must be above 0")
+            for name in ("latency_objective", "deadline"):
+                if getattr(cls, name) <= 0:
+                    raise ValueError(f"{where}.{name}: must be above 0")
             if cls.threads < 1:
                 raise ValueError(f"{where}.threads: must be 1 or more")
-            _not_negative(where, cls, "worth", "late_share", "aim_stretch", "repeat_window")
-            if cls.only_kinds is not None and not cls.only_kinds & known_kinds:
+            _not_negative(
+                where, cls, "priority_weight", "late_weight_factor", "objective_stretch", "retry_window"
+            )
+            if cls.allowed_kinds is not None and not cls.allowed_kinds & known_kinds:
                 raise ValueError(f"{where}.only_kinds: names no kind of this deployment")
-            if cls.only_zones is not None and not cls.only_zones & set(self.zones):
+            if cls.allowed_zones is not None and not cls.allowed_zones & set(self.zones):
                 raise ValueError(f"{where}.only_zones: names no zone of this deployment")
         for name in ("classes", "kinds", "tenants"):
             names = [item.name for item in getattr(self, name)]
@@ -227,18 +230,18 @@
             self.rules,
             "answer_slack",
             "drain_grace",
-            "cold_fraction",
-            "ramp_time",
+            "slow_start_fraction",
+            "slow_start_time",
             "overload_factor",
             "overload_time",
-            "settle_time",
+            "key_settle_time",
         )
         budget = self.rules.attempt_budget
         if budget is not None:
             _not_negative("rules.attempt_budget", budget, "window", "floor", "share")
             if not budget.window:
                 raise ValueError("rules.attempt_budget.window: must be above 0")
-        _not_negative("settings", self, "tick", "over_share_worth", "largest_grant")
+        _not_negative("settings", self, "tick", "over_quota_weight", "largest_grant")
 
 
 def _not_negative(where: str, item: object, *names: str) -> None:
@@ -271,14 +274,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ByHand:
+class ManualOverridesChanged:
     """All engines that operators have taken out: they get nothing new, whatever the list says."""
 
     engines: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
-class Retuned:
+class SettingsChanged:
     """Other settings hold from now on. Queries that are there keep the class they came with."""
 
     settings: Settings
@@ -297,11 +300,11 @@
     work: float | None = None
     memory_mb: float | None = None
     writes: bool = False
-    resent: bool = False
+    is_client_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class ClientDisconnected:
     """The client left; nothing more is owed."""
 
     id: str
@@ -344,7 +347,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class HealthCheckEnded:
     """The result of a probe."""
 
     engine: str
@@ -370,14 +373,14 @@
 
 Event = Union[
     EngineList,
-    ByHand,
-    Retuned,
+    ManualOverridesChanged,
+    SettingsChanged,
     Query,
-    Gone,
+    ClientDisconnected,
     AttemptEnded,
     AttemptStarted,
     Progress,
-    Probed,
+    HealthCheckEnded,
     PeerMessage,
     TimerFired,
 ]
@@ -407,11 +410,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: not run, a retry is harmless, best after ``come_back``."""
 
     id: str
-    come_back: float | None = None
+    retry_after: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -430,7 +433,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class HealthCheck:
     """Ask an engine whether it serves."""
 
     engine: str
@@ -471,4 +474,4 @@
     text: str
 
 
-Action = Union[Send, SetTerms, Refuse, Fail, Cancel, Probe, SetTimer, Watch, FetchList, Message, Log]
+Action = Union[Send, SetTerms, Reject, Fail, Cancel, HealthCheck, SetTimer, Watch, FetchList, Message, Log]
--- a/grebeproxy/policy/lifecycle.py
+++ b/grebeproxy/policy/lifecycle.py
@@ -1,6 +1,6 @@
 """The life of a query: taken, given up, called off, ended."""
 
-from grebeproxy.policy.interface import AttemptEnded, Effect, Fail, Outcome, Query, Refuse, Scope
+from grebeproxy.policy.interface import AttemptEnded, Idempotency, Fail, Outcome, Query, Reject, Scope
 from grebeproxy.policy.placement import MOSTLY_OWN_CHOICE, PATIENCE
 from grebeproxy.policy.records import Job, Node
 from grebeproxy.policy.release import Release
@@ -21,7 +21,7 @@
         cls, rank, began = self.order[self.rank[q.cls]], self.rank[q.cls], self.now
         if self.s.rules.attempt_budget is not None:
             self.taken.add(self.now)
-        if not self.first_left.agrees((q.due - self.now) / cls.deadline, 0.005) or q.resent:
+        if not self.first_left.agrees((q.due - self.now) / cls.deadline, 0.005) or q.is_client_retry:
             began = min(began, q.due - cls.deadline)  # a repeat: its aim began with the client's first try
         self.seen[rank] += 1
         if q.work and not self.costs[rank].estimated:  # until answers bill, the mean estimate stands
@@ -32,14 +32,14 @@
         self.counted(q, cls, min(work, 8 * self.usual[rank]))
         job = self.jobs[q.id] = Job(q, cls, rank, began, max(work, 1e-4), memory, self.draw())
         if q.tenant in self.shares:  # a repeat spends nothing: its first try did, or was past the share
-            spent = (began == self.now and not q.resent) / self.part
-            job.over_share = not self.shares[q.tenant].take(self.now, spent)
-        if cls.in_order and q.key is not None:
+            spent = (began == self.now and not q.is_client_retry) / self.part
+            job.over_quota = not self.shares[q.tenant].take(self.now, spent)
+        if cls.ordered_by_key and q.key is not None:
             job.turn = self.turns[q.key]
             job.turn.append(job)
         crowded = self._load() > 0
         self.held[rank].append(job)
-        if not self._priority_weight(job) or (job.over_share and crowded):
+        if not self._priority_weight(job) or (job.over_quota and crowded):
             self._give_up(job)  # traffic past a tenant's share goes first when others would wait
 
     def _give_up(self, job: Job) -> None:
@@ -48,12 +48,12 @@
         if job.node is not None and self.s.may_cancel and not job.cancelled:
             self.cancel(job)
         if (
-            cls.effect is Effect.SAFE
+            cls.idempotency is Idempotency.IDEMPOTENT
             or (job.ran_at is None and job.node is None)
-            or (cls.effect is Effect.KEYED and cls.scope is Scope.ALL)
+            or (cls.idempotency is Idempotency.IDEMPOTENCY_KEY and cls.scope is Scope.ALL)
         ):
-            wait = None if most is None else min(most, self.backlog() + self.tight.aim)
-            self.out.append(Refuse(job.id, wait))
+            wait = None if most is None else min(most, self.backlog() + self.tight.latency_objective)
+            self.out.append(Reject(job.id, wait))
         else:
             self.out.append(Fail(job.id))
         self.close(job)
@@ -64,8 +64,10 @@
         finish = self.now + (job.run + ahead) * self.pools[job.rank]
         if max(finish, self.now + 6 * self.pause) > job.due:  # the sweep must still come round in time
             return 0.0
-        late = 1.0 if finish <= job.aim_at() else job.cls.late_share
-        return late * job.cls.worth * (self.s.over_share_worth if job.over_share else 1.0) / job.work
+        late = 1.0 if finish <= job.objective_at() else job.cls.late_weight_factor
+        return (
+            late * job.cls.priority_weight * (self.s.over_quota_weight if job.over_quota else 1.0) / job.work
+        )
 
     def _sweep(self) -> None:
         """On the timer: silent engines, what has lost its worth, and what is too much to hold."""
@@ -77,11 +79,12 @@
                 if not j.cls.waits_for_loads
             )
             if e.ejected_at is None and (
-                any(silent) or (e.still >= STILLS and self.now - e.heard > MUTE * self.tight.aim)
+                any(silent)
+                or (e.still >= STILLS and self.now - e.heard > MUTE * self.tight.latency_objective)
             ):
                 self._eject(e)
             for job in list(e.out.values()) if self.s.may_cancel else ():
-                if not job.answered and not job.cls.late_share and self.now > job.aim_at(2.0):
+                if not job.answered and not job.cls.late_weight_factor and self.now > job.objective_at(2.0):
                     self._give_up(job)  # nobody is served by it any more
                 elif not (job.answered or job.cancelled) and self._stuck(job, e):
                     self.cancel(job)
@@ -99,7 +102,7 @@
         """A fresh attempt is to end sooner: guards against bad plans, answers lost and engines stuck."""
         if (
             not (job.ran_at is None or self._repeatable(job))
-            or job.cls.effect is Effect.UNSAFE
+            or job.cls.idempotency is Idempotency.NON_IDEMPOTENT
             or (
                 job.attempts >= self.s.max_attempts
                 or not self._priority_weight(job)
@@ -110,12 +113,12 @@
         if self.s.progress_period:  # its own notes tell; a jam slows a fresh one too
             return job.ends_at - self.now > PATIENCE * job.run * max(1.0, self.pools[job.rank], e.slow)
         if (
-            job.cls.holds_data_set or len(self.able) < FEWEST_ENGINES_TO_CHOOSE
+            job.cls.locks_data_set or len(self.able) < FEWEST_ENGINES_TO_CHOOSE
         ):  # it may wait for another load
             return self.alike < MOSTLY_OWN_CHOICE and self.now - job.sent > PATIENCE * job.expected
         # Guards against standing still behind a load, whosever, and against bad plans, drawn anew each time.
         expected = job.run * max(1.0, e.slow, self.pool) / self._warmth(e)
-        if self.now - job.sent <= max(STILL * (job.aim_at() - job.began), OVER * expected):
+        if self.now - job.sent <= max(STILL * (job.objective_at() - job.began), OVER * expected):
             return False
         e.still += 1
         if job.cls.waits_for_loads and job.query.data_set is not None:
@@ -132,7 +135,7 @@
         if not ev.outcome.never_ran and job.ran_at is None:
             job.ran_at, job.ran_on = job.sent, e
         if ev.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED) and job.query.key is not None:
-            self.rest[job.query.key] = self.now + self.s.rules.settle_time
+            self.rest[job.query.key] = self.now + self.s.rules.key_settle_time
         job.avoid = e
         if ev.settled or job.answered:
             self.close(job)
--- a/grebeproxy/policy/placement.py
+++ b/grebeproxy/policy/placement.py
@@ -4,7 +4,7 @@
 from math import exp
 
 from grebeproxy.policy.dealing import agreed
-from grebeproxy.policy.interface import Probe
+from grebeproxy.policy.interface import HealthCheck
 from grebeproxy.policy.records import Job, Node
 from grebeproxy.policy.rules import PART, WARY
 from grebeproxy.policy.subset import Subset
@@ -78,7 +78,7 @@
                 # What others' loads hold is not told: it is taken for held as likely as they are there.
                 home = min(1.0, max(0.0, homes - place))
                 cost += BARRED * (1.0 if e.barred(self.now, data_set) else unseen * HOME_FILL * home)
-            if job.cls.holds_data_set:  # it would stand still until the other loads end
+            if job.cls.locks_data_set:  # it would stand still until the other loads end
                 cost += 2.0 * e.loading(data_set) + BEYOND_HOME_COST * unseen * max(0.0, place + 1.0 - homes)
                 if place < homes:  # each gateway begins at another one: there it knows most of what is held
                     cost += OWN * ((place / homes - self.s.index / n) % 1.0)
@@ -112,12 +112,12 @@
         mean = sum(len(e.out) for e in able) / max(1, len(able))
         self.alike = max(1.0 / n, mean / (1.0 + mean))
         # An engine's slowness fades to the pool's, the pool's to none, or refusing for it would never end.
-        kept = exp((self.surveyed - now) / (PATIENCE * self.tight.aim))
+        kept = exp((self.surveyed - now) / (PATIENCE * self.tight.latency_objective))
         self.fade(now, kept, sum(e.long_threads for e in self.summed()))
 
     def _pick(self, job: Job, able: list[Node]) -> Node | None:
         """The engine of least cost; departure: of the few cheapest for a long query the first probe back."""
-        if not (job.rank and self.s.may_probe and len(able) > 1 and self.alike < MOSTLY_OWN_CHOICE):
+        if not (job.rank and self.s.may_health_check and len(able) > 1 and self.alike < MOSTLY_OWN_CHOICE):
             return min(able, key=lambda e: self._cost(job, e))
         if job.asked_at is None or self.now > job.asked_at + 4 * self.pause:
             job.asked_at, job.asked = (
@@ -127,7 +127,7 @@
             due = [e for e in self.up if e.ejected_at is not None and self.now >= e.trial_at][:1]
             for e in due:
                 e.trial_at = self.now + e.backoff
-            self.out.extend(Probe(e.entry.id) for e in job.asked + due)
+            self.out.extend(HealthCheck(e.entry.id) for e in job.asked + due)
         told = [e for e in job.asked if e in able and e.probed_at > job.asked_at and e.probe < self.pause]
         if told:
             return min(told, key=lambda e: e.probe)
--- a/grebeproxy/policy/records.py
+++ b/grebeproxy/policy/records.py
@@ -24,7 +24,7 @@
         self.began = began  # when the client's first try came
         self.work, self.memory = work, memory  # corrected estimates
         self.run = work / cls.threads
-        self.over_share = False
+        self.over_quota = False
         self.turn: list[Job] = []  # all of its key in order, itself too, where its class is in order
         self.attempts = 0
         self.draw = draw  # 0 to 1, anew for each attempt
@@ -44,9 +44,9 @@
         if attempt == self.attempts - 1:
             self.ends_at = now + (now - self.sent) * (1.0 / max(0.01, share) - 1.0)
 
-    def aim_at(self, stretch: float = 1.0) -> float:
+    def objective_at(self, stretch: float = 1.0) -> float:
         """Clock time at which the aim passes, with the work's part of it stretched."""
-        return self.began + self.cls.aim + stretch * self.cls.aim_stretch * self.run
+        return self.began + self.cls.latency_objective + stretch * self.cls.objective_stretch * self.run
 
 
 class Node:
@@ -111,7 +111,7 @@
 
     def loading(self, data_set: int) -> int:
         """Loads of ours that are out here and hold the data set, or wait for it."""
-        return sum(o.query.data_set == data_set and o.cls.holds_data_set for o in self.out.values())
+        return sum(o.query.data_set == data_set and o.cls.locks_data_set for o in self.out.values())
 
     def barred(self, now: float, data_set: int) -> bool:
         """A load is out here that holds the data set, ours or, as a query stood still, another's."""
--- a/grebeproxy/policy/release.py
+++ b/grebeproxy/policy/release.py
@@ -26,8 +26,8 @@
         """Floor, plus the gap between classes that load opens, plus urgency; at load 0 near arrival order."""
         waited = self.now - job.began
         if job.rank and job.rank == self.last:  # the lowest class grows urgent after a grace
-            waited = max(0.0, waited - load * job.cls.aim / 2)
-        behind = self.gap if job.over_share else 0.0  # past its tenant's share: after what is within
+            waited = max(0.0, waited - load * job.cls.latency_objective / 2)
+        behind = self.gap if job.over_quota else 0.0  # past its tenant's share: after what is within
         return FLOOR + self.gap * load * self.weight[job.rank] + waited / self.tight.deadline - behind
 
     def _release(self) -> None:
@@ -59,7 +59,7 @@
         cls, s = job.cls, self.s
         job.expected = job.run * max(1.0, e.slow) / self._warmth(e)
         patience = min(PATIENCE * job.expected, 2.2 * (s.progress_period or cls.deadline))
-        job.patience = max(HUSH * cls.aim, patience)
+        job.patience = max(HUSH * cls.latency_objective, patience)
         if job.attempts:
             if s.rules.attempt_budget is not None:  # without one nobody would clear them away
                 self.extra.add(self.now)
@@ -67,11 +67,11 @@
             grant = job.memory * (PAGED_GRANT if s.overbooked is Overbooked.PAGE else GRANT)
             if s.overbooked is Overbooked.SHRINK:  # spare memory is dealt out, as far as estimates scatter
                 grant *= max(1.0, min(1.0 + 2 * self.memories[job.rank].spread, 0.8 / max(self.fill, 0.01)))
-            barring = cls.holds_data_set and any(c.waits_for_loads for c in self.order)  # sooner over
+            barring = cls.locks_data_set and any(c.waits_for_loads for c in self.order)  # sooner over
             self.out.append(
                 SetTerms(
                     job.id,
-                    0 if job.over_share else 3 if barring else max(1, 3 - job.rank),
+                    0 if job.over_quota else 3 if barring else max(1, 3 - job.rank),
                     grant if s.memory_granted and job.memory else None,
                 )
             )
--- a/grebeproxy/policy/rules.py
+++ b/grebeproxy/policy/rules.py
@@ -4,7 +4,7 @@
 from math import exp
 
 from grebeproxy.policy.books import Books
-from grebeproxy.policy.interface import Effect, Scope
+from grebeproxy.policy.interface import Idempotency, Scope
 from grebeproxy.policy.records import Job, Node
 
 WARMING_MARGIN, PACKED = 0.55, 0.7  # of the budget: slots meet, cores are 0.85 busy; of a slot, whole queries
@@ -22,11 +22,11 @@
             return False
         if (
             not self.usable(e)
-            or entry.zone not in (cls.only_zones or (entry.zone,))
-            or (entry.kind not in (cls.only_kinds or (entry.kind,)))
+            or entry.zone not in (cls.allowed_zones or (entry.zone,))
+            or (entry.kind not in (cls.allowed_kinds or (entry.kind,)))
         ):
             return False
-        if job.ran_on is not None and cls.effect is not Effect.SAFE:
+        if job.ran_on is not None and cls.idempotency is not Idempotency.IDEMPOTENT:
             first = job.ran_on.entry
             if (
                 not self._repeatable(job)
@@ -71,18 +71,20 @@
 
     def _repeat_end(self, job: Job) -> float | None:
         """Clock time from which on another attempt may do harm, if there is one."""
-        if job.ran_at is None or job.cls.effect is Effect.SAFE:
+        if job.ran_at is None or job.cls.idempotency is Idempotency.IDEMPOTENT:
             return None
-        return job.ran_at + (job.cls.repeat_window if job.cls.effect is Effect.KEYED else 0.0)
+        return job.ran_at + (
+            job.cls.retry_window if job.cls.idempotency is Idempotency.IDEMPOTENCY_KEY else 0.0
+        )
 
     def _warming_up(self, e: Node) -> bool:
-        return e.cold_since is not None and self.now < e.cold_since + self.s.rules.ramp_time
+        return e.cold_since is not None and self.now < e.cold_since + self.s.rules.slow_start_time
 
     def _warmth(self, e: Node) -> float:
         """Part of its capacity that a starting engine is taken to have, for the choice only."""
-        low, age = self.s.rules.cold_fraction, self.now - (e.cold_since or 0.0)
+        low, age = self.s.rules.slow_start_fraction, self.now - (e.cold_since or 0.0)
         return (
-            max(0.05, low + (1 - low) * max(0.0, age) / self.s.rules.ramp_time)
+            max(0.05, low + (1 - low) * max(0.0, age) / self.s.rules.slow_start_time)
             if self._warming_up(e)
             else 1.0
         )
--- a/grebeproxy/settings.py
+++ b/grebeproxy/settings.py
@@ -13,7 +13,11 @@
 
 Fields = dict[str, Any]
 
-EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
+IDEMPOTENCY = {
+    "retryable": api.Idempotency.IDEMPOTENT,
+    "dedup": api.Idempotency.IDEMPOTENCY_KEY,
+    "fragile": api.Idempotency.NON_IDEMPOTENT,
+}
 REPORTS = {
     "busy_reqs": "in_flight",
     "pending": "waiting",
@@ -85,19 +89,19 @@
     classes = tuple(
         api.QueryClass(
             name=c["name"],
-            aim=seconds(c["aim"]),
+            latency_objective=seconds(c["aim"]),
             deadline=seconds(c["deadline"]),
-            worth=c.get("importance", 1.0),
-            late_share=c.get("lateShare", 0.0),
-            aim_stretch=c.get("aimStretch", 0.0),
-            effect=EFFECTS[c["effect"]],
+            priority_weight=c.get("importance", 1.0),
+            late_weight_factor=c.get("lateShare", 0.0),
+            objective_stretch=c.get("aimStretch", 0.0),
+            idempotency=IDEMPOTENCY[c["effect"]],
             scope=api.Scope(c.get("group", "all")),
-            repeat_window=seconds(c.get("window")),
-            in_order=bool(c.get("inTurn")),
-            only_zones=_names(c.get("confinedTo")),
-            only_kinds=_names(c.get("servedOn")),
+            retry_window=seconds(c.get("window")),
+            ordered_by_key=bool(c.get("inTurn")),
+            allowed_zones=_names(c.get("confinedTo")),
+            allowed_kinds=_names(c.get("servedOn")),
             threads=threads[i],
-            holds_data_set=loads[i],
+            locks_data_set=loads[i],
             waits_for_loads=waits[i],
             streams=bool(c.get("stream")),
         )
@@ -113,7 +117,7 @@
     asks = profile.get("registryMode") == "ask"
     return api.Settings(
         classes=classes,
-        kinds=tuple(api.Kind(n, cores[i], memory[i]) for i, n in enumerate(names)),
+        kinds=tuple(api.EngineKind(n, cores[i], memory[i]) for i, n in enumerate(names)),
         balancers=profile["balancers"],
         index=profile["me"],
         zone=profile["zone"],
@@ -121,16 +125,16 @@
         tenants=tuple(
             api.Tenant(o["name"], o["allowancePerS"], o.get("share", 0.0)) for o in profile.get("orgs", [])
         ),
-        over_share_worth=profile.get("overShareWorth", 1.0),
+        over_quota_weight=profile.get("overShareWorth", 1.0),
         rules=api.Rules(
             answer_slack=seconds(rules.get("answerSlack")),
             drain_grace=seconds(rules["stopSendingWithin"]),
-            cold_fraction=rules["coldFrom"],
-            ramp_time=seconds(rules["rampTime"]),
+            slow_start_fraction=rules["coldFrom"],
+            slow_start_time=seconds(rules["rampTime"]),
             overload_factor=rules["overloadFactor"],
             overload_time=seconds(rules["overloadFor"]),
-            settle_time=seconds(rules.get("keyQuiet")),
-            list_expires=seconds(rules.get("askWithin")) if asks else None,
+            key_settle_time=seconds(rules.get("keyQuiet")),
+            list_max_age=seconds(rules.get("askWithin")) if asks else None,
             attempt_budget=budget,
         ),
         prices=api.Prices(
@@ -145,17 +149,17 @@
         max_retry_after=seconds(limits["maxRetryAfter"]) if limits.get("retryAfter") else None,
         connect_timeout=seconds(limits["connectTimeout"]) if limits.get("connectTimeout") else None,
         may_cancel=bool(limits.get("cancel")),
-        may_probe=bool(limits.get("probing")),
-        may_message=bool(limits.get("mayTell")),
-        second_copies=bool(limits.get("secondCopies")),
-        asks_for_list=asks,
+        may_health_check=bool(limits.get("probing")),
+        may_gossip=bool(limits.get("mayTell")),
+        may_hedge=bool(limits.get("secondCopies")),
+        polls_engine_list=asks,
         clients_mark_retries=bool(profile.get("clients", {}).get("marksRetry")),
         memory_granted=bool(family.get("memoryHeeded")),
         largest_grant=family.get("largestShare") or 1.0,
         overbooked=api.Overbooked(family.get("overbooked") or "wait"),
         priorities=bool(family.get("takesPriority")),
         progress_period=seconds(family["progress"]) if family.get("progress") else None,
-        bills_work=bool(family.get("bills")),
+        reports_work=bool(family.get("bills")),
         reports=tuple(REPORTS[c] for c in stats.get("columns", ()) if c in REPORTS)
         if stats.get("via") != "silent"
         else (),
--- a/grebeproxy/simulator_adapter.py
+++ b/grebeproxy/simulator_adapter.py
@@ -32,7 +32,7 @@
     "Canceled": api.Outcome.CANCELLED,
     "Ignored": api.Outcome.MOOT,
 }
-PROGRESS = {1: api.ProgressKind.SHARE_DONE, 2: api.ProgressKind.SPILLS_MB, 3: api.ProgressKind.WAITS}
+PROGRESS = {1: api.ProgressKind.FRACTION_DONE, 2: api.ProgressKind.SPILLS_MB, 3: api.ProgressKind.WAITS}
 MEGABYTES_PER_UNIT = 4
 UNITS_PER_MS = 4096
 
@@ -69,7 +69,7 @@
         work=seconds(line["cost"]) if line.get("cost") else None,
         memory_mb=line.get("estMemoryMb") or None,
         writes=bool(line.get("mutates")),
-        resent=bool(line.get("resent")),
+        is_client_retry=bool(line.get("resent")),
     )
 
 
@@ -91,7 +91,7 @@
 EVENTS: dict[str, Callable[[Fields], api.Event | None]] = {
     "Arrival": _query,
     "Completed": _ended,
-    "Hangup": lambda line: api.Gone(line["tid"]),
+    "Hangup": lambda line: api.ClientDisconnected(line["tid"]),
     "Started": lambda line: api.AttemptStarted(
         line["tid"], line["node"], line["attempt"], seconds(line["latency"])
     ),
@@ -100,7 +100,7 @@
     )
     if line["topic"] in PROGRESS
     else None,
-    "CheckResult": lambda line: api.Probed(
+    "CheckResult": lambda line: api.HealthCheckEnded(
         line["node"],
         seconds(line["latency"]),
         OUTCOMES[line["stateCode"]],
@@ -120,20 +120,20 @@
     }
 
 
-def _refuse(action: api.Refuse) -> Fields:
+def _refuse(action: api.Reject) -> Fields:
     line: Fields = {"msg": "Shed", "tid": action.id}
-    if action.come_back is not None:
-        line["comeBack"] = milliseconds(action.come_back)
+    if action.retry_after is not None:
+        line["comeBack"] = milliseconds(action.retry_after)
     return line
 
 
 ACTIONS: dict[type, Callable[[Any], Fields]] = {
     api.Send: lambda a: {"msg": "Place", "tid": a.id, "node": a.engine, "notPast": milliseconds(a.until)},
     api.SetTerms: _terms,
-    api.Refuse: _refuse,
+    api.Reject: _refuse,
     api.Fail: lambda a: {"msg": "Lose", "tid": a.id},
     api.Cancel: lambda a: {"msg": "Withdraw", "tid": a.id, "attempt": a.attempt},
-    api.Probe: lambda a: {"msg": "HealthCheck", "node": a.engine},
+    api.HealthCheck: lambda a: {"msg": "HealthCheck", "node": a.engine},
     api.SetTimer: lambda a: {"msg": "Schedule", "delay": milliseconds(a.delay), "mark": a.name},
     api.Watch: lambda a: {"msg": "Observe", "want": a.on},
     api.FetchList: lambda a: {"msg": "Snapshot"},
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,17 +14,17 @@
     Action,
     AttemptEnded,
     Cancel,
-    Effect,
+    Idempotency,
     Engine,
     EngineList,
     Event,
     Fail,
-    Kind,
+    EngineKind,
     ListKind,
     Outcome,
     Query,
     QueryClass,
-    Refuse,
+    Reject,
     Rules,
     Send,
     TimerFired,
@@ -38,25 +38,33 @@
     config.pluginmanager.register(KnownRed())
 
 
-SHORT = QueryClass("short", aim=1.0, deadline=4.0, aim_stretch=1.5)
-LONG = QueryClass("long", aim=2.0, deadline=20.0, threads=3, worth=10.0, late_share=0.4, aim_stretch=2.5)
+SHORT = QueryClass("short", latency_objective=1.0, deadline=4.0, objective_stretch=1.5)
+LONG = QueryClass(
+    "long",
+    latency_objective=2.0,
+    deadline=20.0,
+    threads=3,
+    priority_weight=10.0,
+    late_weight_factor=0.4,
+    objective_stretch=2.5,
+)
 LOAD = QueryClass(
     "load",
-    aim=3.0,
+    latency_objective=3.0,
     deadline=20.0,
     threads=2,
-    worth=10.0,
-    late_share=0.5,
-    aim_stretch=3.0,
-    effect=Effect.KEYED,
-    repeat_window=10.0,
-    holds_data_set=True,
+    priority_weight=10.0,
+    late_weight_factor=0.5,
+    objective_stretch=3.0,
+    idempotency=Idempotency.IDEMPOTENCY_KEY,
+    retry_window=10.0,
+    locks_data_set=True,
 )
 RULES = Rules(
     answer_slack=0.02,
     drain_grace=1.0,
-    cold_fraction=0.3,
-    ramp_time=10.0,
+    slow_start_fraction=0.3,
+    slow_start_time=10.0,
     overload_factor=2.0,
     overload_time=1.0,
 )
@@ -65,14 +73,14 @@
 def make_settings(**changes: Any) -> Settings:
     base = Settings(
         classes=(SHORT, LONG, LOAD),
-        kinds=(Kind("medium", 8.0, 16000.0),),
+        kinds=(EngineKind("medium", 8.0, 16000.0),),
         rules=RULES,
         tick=0.005,
         max_attempts=4,
         max_retry_after=1.0,
         may_cancel=True,
         priorities=True,
-        bills_work=True,
+        reports_work=True,
     )
     return replace(base, **changes)
 
@@ -129,8 +137,8 @@
     return [a for a in actions if isinstance(a, Send)]
 
 
-def finals(actions: list[Action]) -> list[Refuse | Fail]:
-    return [a for a in actions if isinstance(a, Refuse | Fail)]
+def finals(actions: list[Action]) -> list[Reject | Fail]:
+    return [a for a in actions if isinstance(a, Reject | Fail)]
 
 
 def cancels(actions: list[Action]) -> list[Cancel]:
--- a/tests/streams.py
+++ b/tests/streams.py
@@ -19,9 +19,11 @@
 from grebeproxy import Choice
 from grebeproxy.policy import interface as api
 
+# Actions under the names that they had when the digests were recorded: a rename is no change of behaviour.
+RECORDED_NAMES: dict[type[api.Action], str] = {api.Reject: "Refuse", api.HealthCheck: "Probe"}
 RECORDED = Path(__file__).parent / "streams.txt"
 TENANTS = (api.Tenant("a", 20.0, 0.6), api.Tenant("b", 10.0, 0.4))
-CLASSES = (replace(SHORT, waits_for_loads=True), LONG, replace(LOAD, in_order=True))
+CLASSES = (replace(SHORT, waits_for_loads=True), LONG, replace(LOAD, ordered_by_key=True))
 FAULTS = (
     api.Outcome.ERROR,
     api.Outcome.FULL,
@@ -40,8 +42,12 @@
     "six": ({"balancers": 6, "index": 3}, 9, 60.0),
     "crowded": ({"balancers": 3, "tenants": TENANTS}, 2, 120.0),
     "wide": ({"balancers": 2}, 40, 60.0),
-    "probing": ({"balancers": 9, "may_probe": True, "progress_period": 1.0}, 12, 30.0),
-    "asking": ({"asks_for_list": True, "overbooked": api.Overbooked.SHRINK, "memory_granted": True}, 5, 50.0),
+    "probing": ({"balancers": 9, "may_health_check": True, "progress_period": 1.0}, 12, 30.0),
+    "asking": (
+        {"polls_engine_list": True, "overbooked": api.Overbooked.SHRINK, "memory_granted": True},
+        5,
+        50.0,
+    ),
     "rationed": (
         {
             "rules": api.Rules(0.02, 1.0, 0.3, 10.0, 2.0, 1.0, 0.2, None, BUDGET),
@@ -103,7 +109,11 @@
             states = [api.EngineState.UP, api.EngineState.UP, api.EngineState.DRAINING, api.EngineState.GONE]
             state = self.draw.choice(states)
             if self.draw.random() < 0.2:
-                return [api.ByHand(frozenset({f"e{n}"}) if state is api.EngineState.UP else frozenset())]
+                return [
+                    api.ManualOverridesChanged(
+                        frozenset({f"e{n}"}) if state is api.EngineState.UP else frozenset()
+                    )
+                ]
             started = self.now if state is api.EngineState.UP else None
             return [api.EngineList(api.ListKind.CHANGES, (self.engine(n, started, state),))]
         assert not isinstance(event, str)
@@ -122,16 +132,17 @@
             cls.name,
             self.now + limit,
             tenant=self.draw.choice("ab"),
-            key=f"k{self.draw.randrange(4)}" if cls.in_order else None,
+            key=f"k{self.draw.randrange(4)}" if cls.ordered_by_key else None,
             data_set=self.draw.randrange(12),
             work=work,
             memory_mb=100.0 * work,
-            resent=limit < cls.deadline,
+            is_client_retry=limit < cls.deadline,
         )
 
     def act(self, action: api.Action) -> None:
         values = [round(v, 6) if isinstance(v, float) else v for v in astuple(action)]
-        shown = f"{type(action).__name__} {values}"
+        name = RECORDED_NAMES.get(type(action), type(action).__name__)
+        shown = f"{name} {values}"
         self.digest.update(f"{self.now:.6f} {shown}\n".encode())
         match action:
             case api.Send(id, engine, _):
@@ -170,8 +181,8 @@
                     )
             case api.SetTimer(name, delay):
                 self.at(self.now + delay, api.TimerFired(name))
-            case api.Probe(engine):
-                self.at(self.now + 0.001, api.Probed(engine, 0.001, api.Outcome.OK))
+            case api.HealthCheck(engine):
+                self.at(self.now + 0.001, api.HealthCheckEnded(engine, 0.001, api.Outcome.OK))
             case api.Watch():
                 self.at(self.now + 0.1, api.EngineList(api.ListKind.CHANGES))
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -15,8 +15,8 @@
 
 from grebeproxy.policy.interface import Engine, Outcome, Send
 
-COLD = replace(RULES, overload_factor=4.0, overload_time=3.0, ramp_time=14.0, cold_fraction=0.31)
-CLASSES = (SHORT, LONG, replace(LOAD, holds_data_set=False))
+COLD = replace(RULES, overload_factor=4.0, overload_time=3.0, slow_start_time=14.0, slow_start_fraction=0.31)
+CLASSES = (SHORT, LONG, replace(LOAD, locks_data_set=False))
 WORK = {"short": 0.1, "long": 2.6, "load": 3.0}  # core-seconds of a usual query
 CORES, MEAN = 8.0, 0.6
 BUSY = 0.85  # capacity is the rate at which the cores are so busy
@@ -80,7 +80,7 @@
                 at = sent[last][0]
                 got = sum(weight for when, weight in sent[: last + 1] if when > at - COLD.overload_time)
                 age = max(0.0, at - COLD.overload_time / 2 - self.began)  # in the middle of the window
-                now = COLD.cold_fraction + (1.0 - COLD.cold_fraction) * age / COLD.ramp_time
+                now = COLD.slow_start_fraction + (1.0 - COLD.slow_start_fraction) * age / COLD.slow_start_time
                 budget = COLD.overload_factor * COLD.overload_time * BUSY * CORES * now / MEAN
                 worst = max(worst, got / (budget + 2.0 * sqrt(budget) + 2.0))
         return worst
@@ -124,5 +124,10 @@
     fleet = Fleet(200, engines=32, cold=16, seed=1)
     for _ in range(6):
         fleet.run(1.0, lambda cls: {"short": 550.0, "long": 22.0, "load": 6.0}[cls])
-    able = 16 * CORES * (COLD.cold_fraction + (1.0 - COLD.cold_fraction) * 5.0 / COLD.ramp_time) * 6.0
+    able = (
+        16
+        * CORES
+        * (COLD.slow_start_fraction + (1.0 - COLD.slow_start_fraction) * 5.0 / COLD.slow_start_time)
+        * 6.0
+    )
     assert fleet.part() > 0.2 * able and fleet.over() <= 1.0
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -11,33 +11,33 @@
 from grebeproxy.policy.interface import (
     Action,
     AttemptBudget,
-    Effect,
+    Idempotency,
     Engine,
-    Kind,
+    EngineKind,
     ListKind,
     Outcome,
     Overbooked,
-    Probe,
-    Probed,
+    HealthCheck,
+    HealthCheckEnded,
     Progress,
     ProgressKind,
     Send,
     SetTerms,
 )
 
-ORDERED = replace(LOAD, in_order=True)
+ORDERED = replace(LOAD, ordered_by_key=True)
 
 
 def probes(actions: list[Action]) -> list[str]:
-    return [a.engine for a in actions if isinstance(a, Probe)]
+    return [a.engine for a in actions if isinstance(a, HealthCheck)]
 
 
 def asking(**changes: Any) -> Gateway:
-    return Gateway(make_settings(balancers=100, may_probe=True, **changes), engines=6)
+    return Gateway(make_settings(balancers=100, may_health_check=True, **changes), engines=6)
 
 
 def note(gateway: Gateway, engine: str, share: float, id: str = "a", attempt: int = 0) -> None:
-    gateway.do(Progress(id, engine, attempt, ProgressKind.SHARE_DONE, share))
+    gateway.do(Progress(id, engine, attempt, ProgressKind.FRACTION_DONE, share))
 
 
 def test_a_long_query_goes_where_a_probe_is_back_first() -> None:
@@ -46,7 +46,7 @@
     asked = probes(first)
     assert len(set(asked)) == 3 and not sends(first)
     gateway.now += 0.01
-    back = [Probed(asked[0], 0.004, Outcome.OK), Probed(asked[1], 0.002, Outcome.OK)]
+    back = [HealthCheckEnded(asked[0], 0.004, Outcome.OK), HealthCheckEnded(asked[1], 0.002, Outcome.OK)]
     [send] = sends(gateway.do(*back))
     assert send.engine == asked[1]
 
@@ -63,8 +63,8 @@
     gateway = asking()
     asked = probes(gateway.ask("long", wait=20.0, work=1.0))
     gateway.now += 0.01
-    assert not sends(gateway.do(Probed(asked[0], 0.001, Outcome.TIMEOUT)))
-    [send] = sends(gateway.do(Probed(asked[2], 0.02, Outcome.OK)))
+    assert not sends(gateway.do(HealthCheckEnded(asked[0], 0.001, Outcome.TIMEOUT)))
+    [send] = sends(gateway.do(HealthCheckEnded(asked[2], 0.02, Outcome.OK)))
     assert send.engine == asked[2]
 
 
@@ -85,7 +85,7 @@
         assert lost.ejected_at is not None
         gateway.now += 30.0
         assert send.engine in probes(gateway.ask("long", wait=20.0, work=1.0))
-        gateway.do(Probed(send.engine, 0.002, Outcome.OK))
+        gateway.do(HealthCheckEnded(send.engine, 0.002, Outcome.OK))
         assert (lost.ejected_at is None) is back
 
 
@@ -103,7 +103,7 @@
 
 
 def test_an_attempt_that_is_soon_done_or_must_not_run_twice_is_left_alone() -> None:
-    once = replace(LONG, name="once", effect=Effect.UNSAFE)
+    once = replace(LONG, name="once", idempotency=Idempotency.NON_IDEMPOTENT)
     for name, share in (("long", 0.6), ("once", 0.1)):
         gateway = Gateway(make_settings(classes=(SHORT, LONG, once), progress_period=2.0), engines=3)
         [send] = sends(gateway.ask(name, wait=20.0, work=3.0, id="a"))
@@ -201,7 +201,7 @@
     granted: dict[float, float] = {}
     for fill in (0.1, 0.6, 2.0):
         config = make_settings(
-            memory_granted=True, overbooked=Overbooked.SHRINK, kinds=(Kind("medium", 8.0, 16000.0),)
+            memory_granted=True, overbooked=Overbooked.SHRINK, kinds=(EngineKind("medium", 8.0, 16000.0),)
         )
         gateway = Gateway(config, engines=2)
         gateway.choice.memories[1].spread = 0.5
@@ -224,13 +224,13 @@
 
 
 def test_late_and_unknown_news_changes_nothing() -> None:
-    gateway = Gateway(make_settings(progress_period=2.0, may_probe=True, balancers=100), engines=2)
+    gateway = Gateway(make_settings(progress_period=2.0, may_health_check=True, balancers=100), engines=2)
     [send] = sends(gateway.ask(work=0.1, id="a"))
     gateway.end(send, Outcome.OK, work=0.1)
     assert not finals(gateway.end(send, Outcome.ERROR)) and not gateway.choice.jobs  # told twice
     note(gateway, send.engine, 0.1)  # on what is over, and on what never was
     note(gateway, "nowhere", 0.0, id="b", attempt=7)
-    assert not gateway.do(Probed("nowhere", 0.001, Outcome.OK))
+    assert not gateway.do(HealthCheckEnded("nowhere", 0.001, Outcome.OK))
     gateway.tell(Engine("odd", "unheard-of", weight=0.0), how=ListKind.CHANGES)
     assert gateway.choice.nodes["odd"].cores == 8.0  # an unknown kind counts as the first one
     assert {s.engine for _ in range(9) for s in sends(gateway.ask(work=0.1))} >= {"odd"}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,7 +12,7 @@
 
 ENGINES, CLASSES = 30, (SHORT, LONG)
 # A ramp so long that a cold engine can do the same all the time of a test.
-COLD = replace(RULES, overload_factor=4.0, overload_time=3.0, cold_fraction=0.44, ramp_time=1e6)
+COLD = replace(RULES, overload_factor=4.0, overload_time=3.0, slow_start_fraction=0.44, slow_start_time=1e6)
 
 
 def fleet(balancers: int, cold: int, engines: int = ENGINES, age: float = 2.0) -> list[Gateway]:
@@ -92,11 +92,13 @@
 def test_repeats_make_no_gateway_think_itself_busier_than_the_others() -> None:
     tenants = (Tenant("a", 40.0),)  # one a second for each of 40
     parts = []
-    for resent in (True, False):
+    for is_client_retry in (True, False):
         gateway = Gateway(make_settings(balancers=40, tenants=tenants, classes=CLASSES), engines=ENGINES)
         for _ in range(60):
             gateway.now += 0.25
-            for send in sends(gateway.ask(work=0.1, tenant="a", wait=4.0 - resent, resent=resent)):
+            for send in sends(
+                gateway.ask(work=0.1, tenant="a", wait=4.0 - is_client_retry, is_client_retry=is_client_retry)
+            ):
                 gateway.end(send, Outcome.OK, 0.1)
         parts.append(gateway.choice.part)
     assert parts[0] == 1.0 and parts[1] > 2.0
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -12,7 +12,7 @@
 from test_exchanges import answer_line
 
 from grebeproxy import Choice
-from grebeproxy.policy.interface import Gone, Outcome
+from grebeproxy.policy.interface import ClientDisconnected, Outcome
 
 LIVES = 2000
 
@@ -31,7 +31,7 @@
     for number in range(200):
         for send in sends(gateway.ask(data_set=number, work=0.01)):
             for _ in cancels(gateway.sweep(gateway.now + 0.35)):
-                gateway.do(Gone(send.id))
+                gateway.do(ClientDisconnected(send.id))
                 gateway.end(send, Outcome.CANCELLED)
         gateway.now += 2.0
     held = [len(node.held_until) for node in gateway.choice.nodes.values()]
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -8,7 +8,15 @@
 
 from grebeproxy import Settings
 from grebeproxy.policy.lifecycle import MUTE, STILLS
-from grebeproxy.policy.interface import Kind, Outcome, Overbooked, Progress, ProgressKind, SetTerms, Tenant
+from grebeproxy.policy.interface import (
+    EngineKind,
+    Outcome,
+    Overbooked,
+    Progress,
+    ProgressKind,
+    SetTerms,
+    Tenant,
+)
 
 
 def test_an_engine_that_fails_fast_attracts_no_traffic(settings: Settings) -> None:
@@ -50,7 +58,7 @@
     gateway = Gateway(make_settings(progress_period=0.5, max_attempts=1), engines=3)
     [send] = sends(gateway.ask("long", wait=20.0, work=1.0, id="a"))
     for step in range(1, 100):
-        gateway.do(Progress("a", send.engine, 0, ProgressKind.SHARE_DONE, 0.01 * step))
+        gateway.do(Progress("a", send.engine, 0, ProgressKind.FRACTION_DONE, 0.01 * step))
         assert not cancels(gateway.sweep(100.0 + step * 0.1))
 
 
@@ -94,7 +102,7 @@
 
 
 def test_what_an_engines_memory_cannot_take_is_held() -> None:
-    gateway = Gateway(make_settings(kinds=(Kind("medium", 8.0, 1000.0),)), engines=1)
+    gateway = Gateway(make_settings(kinds=(EngineKind("medium", 8.0, 1000.0),)), engines=1)
     sent = [s for _ in range(5) for s in sends(gateway.ask("long", wait=20.0, work=1.0, memory_mb=400.0))]
     assert len(sent) == 2
     assert len(sends(gateway.end(sent[0], Outcome.OK, work=1.0))) == 1
@@ -118,13 +126,13 @@
         gateway = Gateway(make_settings(), engines=0)
         for _ in range(5):
             gateway.ask(wait=3.6, work=0.1)  # first tries have nine tenths of the deadline
-        gateway.ask(wait=3.4, work=0.1, id="repeat", resent=marked)
+        gateway.ask(wait=3.4, work=0.1, id="repeat", is_client_retry=marked)
         assert abs(gateway.choice.jobs["repeat"].began - 99.4) < 1e-6
 
 
 def test_traffic_past_a_share_goes_first_when_others_would_wait() -> None:
     tenants = (Tenant("a", 5.0), Tenant("b", 5.0))
-    gateway = Gateway(make_settings(tenants=tenants, over_share_worth=0.05), engines=1)
+    gateway = Gateway(make_settings(tenants=tenants, over_quota_weight=0.05), engines=1)
     calm = [finals(gateway.ask(work=0.1, tenant="a")) for _ in range(10)]
     assert not any(calm)
     gateway.choice.nodes["e0"].shut_until = 200.0
@@ -135,12 +143,12 @@
 
 
 def test_traffic_past_a_share_leaves_after_what_is_within() -> None:
-    gateway = Gateway(make_settings(tenants=(Tenant("a", 1.0),), over_share_worth=0.05), engines=1)
+    gateway = Gateway(make_settings(tenants=(Tenant("a", 1.0),), over_quota_weight=0.05), engines=1)
     gateway.choice.nodes["e0"].shut_until = 100.5
     gateway.ask(work=0.1, tenant="a", id="within")
     gateway.choice.now = 101.0
     jobs = gateway.choice.jobs
-    jobs["within"].over_share, before = True, gateway.choice._priority(jobs["within"], 0.0)
+    jobs["within"].over_quota, before = True, gateway.choice._priority(jobs["within"], 0.0)
     assert gateway.choice._priority(jobs["within"], 0.0) < before
 
 
@@ -177,19 +185,21 @@
 
 
 def test_an_attempt_has_until_its_client_gives_up() -> None:
-    gateway = Gateway(make_settings(may_cancel=False, classes=(SHORT, replace(LONG, worth=2.0))), engines=1)
+    gateway = Gateway(
+        make_settings(may_cancel=False, classes=(SHORT, replace(LONG, priority_weight=2.0))), engines=1
+    )
     [short] = sends(gateway.ask(work=0.1))
     [long] = sends(gateway.ask("long", wait=20.0, work=0.3))
     assert short.until == 104.0 and long.until == 120.0
 
 
 def test_a_repeat_spends_nothing_of_its_tenants_share() -> None:
-    gateway = Gateway(make_settings(tenants=(Tenant("a", 3.0),), over_share_worth=0.05), engines=1)
+    gateway = Gateway(make_settings(tenants=(Tenant("a", 3.0),), over_quota_weight=0.05), engines=1)
     gateway.ask(work=0.1, tenant="a")
     for _ in range(5):
-        gateway.ask(work=0.1, tenant="a", wait=3.0, resent=True)
+        gateway.ask(work=0.1, tenant="a", wait=3.0, is_client_retry=True)
     gateway.ask(work=0.1, tenant="a", id="second")
-    assert not gateway.choice.jobs["second"].over_share
+    assert not gateway.choice.jobs["second"].over_quota
 
 
 def test_errors_of_queries_that_no_engine_can_use_eject_nobody() -> None:
@@ -225,7 +235,7 @@
         gateway.end(again, Outcome.OK, 0.01)
     gateway.sweep(gateway.now + 0.01)
     assert node.still == STILLS and node.ejected_at is None  # loads may hold all that was asked of it
-    gateway.sweep(100.01 + MUTE * SHORT.aim)
+    gateway.sweep(100.01 + MUTE * SHORT.latency_objective)
     assert node.ejected_at is not None
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -22,16 +22,23 @@
 
 ENGINES = ("e1", "e2", "e3")
 LIMITS = WireLimits(connect_timeout=0.25, idle_timeout=30.0, multiplex=100, max_open=1000)
-ORDERED = replace(LOAD, in_order=True)
+ORDERED = replace(LOAD, ordered_by_key=True)
 BASE = make_settings(classes=(SHORT, ORDERED))
 VARIANTS = (
     BASE,
     replace(BASE, max_attempts=1),
     replace(BASE, classes=(ORDERED,)),
-    replace(BASE, classes=(SHORT, replace(ORDERED, repeat_window=0.3))),
-    replace(BASE, classes=(SHORT, replace(ORDERED, effect=api.Effect.UNSAFE))),
-    replace(BASE, classes=(SHORT, replace(ORDERED, repeat_window=1.0, scope=api.Scope.CELL))),
-    replace(BASE, classes=(replace(SHORT, effect=api.Effect.UNSAFE), ORDERED, replace(SHORT, name="new"))),
+    replace(BASE, classes=(SHORT, replace(ORDERED, retry_window=0.3))),
+    replace(BASE, classes=(SHORT, replace(ORDERED, idempotency=api.Idempotency.NON_IDEMPOTENT))),
+    replace(BASE, classes=(SHORT, replace(ORDERED, retry_window=1.0, scope=api.Scope.CELL))),
+    replace(
+        BASE,
+        classes=(
+            replace(SHORT, idempotency=api.Idempotency.NON_IDEMPOTENT),
+            ORDERED,
+            replace(SHORT, name="new"),
+        ),
+    ),
 )
 
 
@@ -118,9 +125,11 @@
                 if txn in self.began:
                     at, where = self.began[txn]
                     cls = self.kept[txn]
-                    assert cls.effect is not api.Effect.UNSAFE, "an unsafe one is sent again"
-                    if cls.effect is api.Effect.KEYED:
-                        assert self.now < at + cls.repeat_window, "sent again past its window"
+                    assert (
+                        cls.idempotency is not api.Idempotency.NON_IDEMPOTENT
+                    ), "an unsafe one is sent again"
+                    if cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY:
+                        assert self.now < at + cls.retry_window, "sent again past its window"
                         assert cls.scope is api.Scope.ALL or engine == where, "sent again to another cell"
                 self.began.setdefault(txn, (self.now, engine))
                 key = self.calls[txn].key
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,27 +14,27 @@
     AttemptBudget,
     AttemptEnded,
     Cancel,
-    Effect,
+    Idempotency,
     Engine,
     EngineList,
     EngineState,
     Fail,
-    Gone,
-    Kind,
+    ClientDisconnected,
+    EngineKind,
     ListKind,
     Outcome,
-    Probe,
-    Probed,
+    HealthCheck,
+    HealthCheckEnded,
     Progress,
     ProgressKind,
     Query,
-    Refuse,
+    Reject,
     Scope,
     Send,
     TimerFired,
 )
 
-ONCE = replace(LOAD, name="once", effect=Effect.UNSAFE, in_order=True)
+ONCE = replace(LOAD, name="once", idempotency=Idempotency.NON_IDEMPOTENT, ordered_by_key=True)
 
 
 def only(cls: Any, **changes: Any) -> Settings:
@@ -52,7 +52,7 @@
         at += 0.05
         answers += [(at, a) for a in finals(gateway.sweep(at))]
     assert len(answers) == 1
-    assert isinstance(answers[0][1], Refuse) and answers[0][0] < 105.0
+    assert isinstance(answers[0][1], Reject) and answers[0][0] < 105.0
 
 
 def test_a_late_repeat_with_little_time_left_is_answered_at_once(settings: Settings) -> None:
@@ -62,8 +62,8 @@
 
 def test_what_cannot_end_in_time_is_given_up_at_once_with_advice(settings: Settings) -> None:
     [answer] = finals(Gateway(settings).ask("long", wait=5.0, work=60.0))
-    assert isinstance(answer, Refuse) and answer.come_back is not None
-    assert 0 < answer.come_back <= 1.0
+    assert isinstance(answer, Reject) and answer.retry_after is not None
+    assert 0 < answer.retry_after <= 1.0
 
 
 def test_the_time_out_at_the_deadline_is_answered(settings: Settings) -> None:
@@ -77,7 +77,7 @@
 def test_nothing_follows_when_the_client_has_left(settings: Settings) -> None:
     gateway = Gateway(settings)
     [send] = sends(gateway.ask(id="a", work=0.1))
-    assert not gateway.do(Gone("a"))[1:]
+    assert not gateway.do(ClientDisconnected("a"))[1:]
     assert not finals(gateway.end(send, Outcome.ERROR)) and not gateway.choice.jobs
 
 
@@ -144,7 +144,7 @@
 
 
 def test_a_failed_list_leaves_the_last_one_and_is_asked_again() -> None:
-    gateway = Gateway(make_settings(asks_for_list=True, rules=replace(RULES, list_expires=8.0)))
+    gateway = Gateway(make_settings(polls_engine_list=True, rules=replace(RULES, list_max_age=8.0)))
     gateway.do(EngineList(ListKind.FAILED))
     assert sends(gateway.ask(work=0.1))
     assert any(type(a).__name__ == "Watch" for a in gateway.sweep(103.0))
@@ -155,7 +155,7 @@
 
 def test_a_cold_engine_gets_no_more_than_its_budget() -> None:
     gateway = Gateway(make_settings(balancers=2), engines=1, started=99.0)
-    budget = RULES.overload_factor * RULES.cold_fraction * 8.0 * RULES.overload_time / 2
+    budget = RULES.overload_factor * RULES.slow_start_fraction * 8.0 * RULES.overload_time / 2
     sent = sum(len(sends(gateway.ask(work=0.5))) for _ in range(60))
     for _ in range(9):
         sent += len(sends(gateway.sweep(gateway.now + 0.1)))
@@ -194,20 +194,20 @@
     assert not sends(gateway.ask("once", wait=20.0, work=1.0, key="k", id="b"))
     assert not sends(gateway.ask("once", wait=20.0, work=1.0, key="k", id="c"))
     assert [s.id for s in sends(gateway.ask("once", wait=20.0, work=1.0, key="other", id="d"))] == ["d"]
-    gateway.do(Gone("b"))
+    gateway.do(ClientDisconnected("b"))
     assert [s.id for s in sends(gateway.end(first, Outcome.ERROR))] == ["c"]
 
 
 def test_a_client_that_left_still_blocks_its_key_while_its_attempt_is_out() -> None:
     gateway = Gateway(only(ONCE), engines=3)
     [first] = sends(gateway.ask("once", wait=20.0, work=1.0, key="k", id="a"))
-    gateway.do(Gone("a"))
+    gateway.do(ClientDisconnected("a"))
     assert not sends(gateway.ask("once", wait=20.0, work=1.0, key="k", id="b"))
     assert [s.id for s in sends(gateway.end(first, Outcome.RESET))] == ["b"]
 
 
 def test_a_key_rests_after_an_attempt_that_may_still_run() -> None:
-    gateway = Gateway(only(ONCE, rules=replace(RULES, settle_time=0.5)), engines=3)
+    gateway = Gateway(only(ONCE, rules=replace(RULES, key_settle_time=0.5)), engines=3)
     [first] = sends(gateway.ask("once", wait=20.0, work=1.0, key="k", id="a"))
     assert not sends(gateway.ask("once", wait=20.0, work=1.0, key="k", id="b"))
     assert not sends(gateway.end(first, Outcome.RESET))
@@ -219,10 +219,12 @@
 
 
 def test_a_bound_class_waits_or_ends_when_its_engines_are_down() -> None:
-    bound = replace(LONG, only_kinds=frozenset({"big"}), only_zones=frozenset({"a"}))
+    bound = replace(LONG, allowed_kinds=frozenset({"big"}), allowed_zones=frozenset({"a"}))
     gateway = Gateway(
         make_settings(
-            classes=(SHORT, bound), zones=("a", "b"), kinds=(Kind("medium", 8.0), Kind("big", 12.0))
+            classes=(SHORT, bound),
+            zones=("a", "b"),
+            kinds=(EngineKind("medium", 8.0), EngineKind("big", 12.0)),
         ),
         engines=0,
     )
@@ -262,14 +264,14 @@
     day: list[tuple[str, int, int]], may_cancel: bool, asks: bool
 ) -> None:
     budget = AttemptBudget(window=2.0, floor=1.0, share=0.5)
-    bound = replace(LONG, only_kinds=frozenset({"big"}))
-    rules = replace(RULES, settle_time=0.3, attempt_budget=budget)
+    bound = replace(LONG, allowed_kinds=frozenset({"big"}))
+    rules = replace(RULES, key_settle_time=0.3, attempt_budget=budget)
     config = make_settings(
         classes=(SHORT, bound, LOAD, ONCE),
-        kinds=(Kind("medium", 8.0), Kind("big", 12.0)),
+        kinds=(EngineKind("medium", 8.0), EngineKind("big", 12.0)),
         rules=rules,
         may_cancel=may_cancel,
-        may_probe=asks,
+        may_health_check=asks,
         balancers=30 if asks else 1,
         progress_period=0.2 if asks else None,
     )
@@ -294,11 +296,11 @@
                 past = attempts[action.id]
                 assert not answered[action.id] and action.id not in out and now < query.due
                 assert state[action.engine] is EngineState.UP
-                assert cls.only_kinds is None or kind[action.engine] in cls.only_kinds
+                assert cls.allowed_kinds is None or kind[action.engine] in cls.allowed_kinds
                 ran = [at for at, how in past if how is not None and not how.never_ran]
-                assert not ran or cls.effect is not Effect.UNSAFE
-                assert not ran or cls.effect is Effect.SAFE or now < ran[0] + cls.repeat_window
-                if cls.in_order and query.key:
+                assert not ran or cls.idempotency is not Idempotency.NON_IDEMPOTENT
+                assert not ran or cls.idempotency is Idempotency.IDEMPOTENT or now < ran[0] + cls.retry_window
+                if cls.ordered_by_key and query.key:
                     assert ordered[query.key][0] == action.id
                     assert past or now >= rested.get(query.key, 0.0)
                 if past:
@@ -307,13 +309,13 @@
                     assert recent[0] <= budget.floor + budget.share * recent[1]
                 out[action.id] = (action.engine, len(past))
                 past.append((now, None))
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, Reject | Fail):
                 cls = choice.order[choice.rank[queries[action.id].cls]]
                 may_run = [how for _, how in attempts[action.id] if how is None or not how.never_ran]
-                if isinstance(action, Refuse):
-                    assert cls.effect is not Effect.UNSAFE or not may_run
+                if isinstance(action, Reject):
+                    assert cls.idempotency is not Idempotency.NON_IDEMPOTENT or not may_run
                 close(action.id)
-            elif isinstance(action, Probe):
+            elif isinstance(action, HealthCheck):
                 assert asks
             elif isinstance(action, Cancel):
                 assert may_cancel and action.attempt < len(attempts[action.id])
@@ -367,7 +369,7 @@
             query_id = f"q{number % len(queries)}"
             if not answered[query_id]:
                 close(query_id)
-                check(choice.handle(now, [Gone(query_id)]))
+                check(choice.handle(now, [ClientDisconnected(query_id)]))
         elif what == "list":
             entry = fleet[number % 4]
             state[entry.id] = (EngineState.UP, EngineState.DRAINING, EngineState.GONE)[number % 3]
@@ -375,7 +377,7 @@
             check(choice.handle(now, [EngineList(ListKind.CHANGES, (entry,))]))
         elif what == "probed":
             how = outcomes[number % len(outcomes)]
-            check(choice.handle(now, [Probed(fleet[number % 4].id, number / 20000.0, how)]))
+            check(choice.handle(now, [HealthCheckEnded(fleet[number % 4].id, number / 20000.0, how)]))
         elif what == "note" and out:
             query_id = sorted(out)[number % len(out)]
             check(
@@ -386,7 +388,7 @@
                             query_id,
                             out[query_id][0],
                             out[query_id][1],
-                            ProgressKind.SHARE_DONE,
+                            ProgressKind.FRACTION_DONE,
                             number / 1000.0,
                         )
                     ],
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,7 +15,7 @@
     Engine,
     EngineList,
     EngineState,
-    Kind,
+    EngineKind,
     ListKind,
     Outcome,
     SetTimer,
@@ -88,7 +88,7 @@
 
 
 def test_large_engines_do_not_draw_all_gateways() -> None:
-    kinds = (Kind("medium", 8.0, 16000.0), Kind("big", 12.0, 24000.0))
+    kinds = (EngineKind("medium", 8.0, 16000.0), EngineKind("big", 12.0, 24000.0))
     used = set()
     for index in range(40):
         gateway = Gateway(make_settings(balancers=200, index=index, kinds=kinds), engines=0)
@@ -123,10 +123,10 @@
 
 
 def test_chance_arrivals_within_a_small_share_are_not_past_it() -> None:
-    gateway = Gateway(make_settings(balancers=100, tenants=(Tenant("a", 100.0),), over_share_worth=0.05))
+    gateway = Gateway(make_settings(balancers=100, tenants=(Tenant("a", 100.0),), over_quota_weight=0.05))
     for i in range(3):
         gateway.ask(work=0.1, tenant="a", id=f"a{i}")
-    assert not any(job.over_share for job in gateway.choice.jobs.values())
+    assert not any(job.over_quota for job in gateway.choice.jobs.values())
 
 
 def test_what_comes_back_too_late_for_a_sweep_is_answered_at_once() -> None:
@@ -237,7 +237,7 @@
             for number, tenant in enumerate(asks):
                 gateway.now += 1.0 / 12.0
                 for send in sends(gateway.ask(work=0.1, tenant=tenant, id=f"{second}-{number}")):
-                    over += second > 4 and gateway.choice.jobs[send.id].over_share  # it takes some to tell
+                    over += second > 4 and gateway.choice.jobs[send.id].over_quota  # it takes some to tell
                     gateway.end(send, Outcome.OK, 0.1, work=0.1)
         found[name] = over, len(gateway.choice.near)
     assert found["all"][0] < 30 and found["all"][1] > 30  # of 60 queries, and of 34 engines
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -139,12 +139,21 @@
 def test_settings_reach_the_module_in_its_own_units() -> None:
     s = settings_from(PROFILE)
     short, long = s.classes
-    assert (short.aim, short.deadline, short.worth, short.threads) == (0.5, 2.0, 2.0, 1)
-    assert (long.effect, long.scope, long.in_order) == (api.Effect.KEYED, api.Scope.ZONE, True)
-    assert (long.only_kinds, long.only_zones) == (frozenset({"k4"}), frozenset({"z1"}))
+    assert (short.latency_objective, short.deadline, short.priority_weight, short.threads) == (
+        0.5,
+        2.0,
+        2.0,
+        1,
+    )
+    assert (long.idempotency, long.scope, long.ordered_by_key) == (
+        api.Idempotency.IDEMPOTENCY_KEY,
+        api.Scope.ZONE,
+        True,
+    )
+    assert (long.allowed_kinds, long.allowed_zones) == (frozenset({"k4"}), frozenset({"z1"}))
     assert s.rules.attempt_budget == api.AttemptBudget(4.0, 5, 0.1)
-    assert (s.rules.list_expires, s.rules.settle_time, s.rules.ramp_time) == (9.0, 0.03, 8.0)
-    assert (s.index, s.balancers, s.asks_for_list, s.clients_mark_retries) == (1, 2, True, True)
+    assert (s.rules.list_max_age, s.rules.key_settle_time, s.rules.slow_start_time) == (9.0, 0.03, 8.0)
+    assert (s.index, s.balancers, s.polls_engine_list, s.clients_mark_retries) == (1, 2, True, True)
     assert (s.overbooked, s.progress_period, s.reports) == (api.Overbooked.SHRINK, 1.0, ("cpu",))
     assert s.tenants == (api.Tenant("t1", 10.0, 0.6),)
 
@@ -153,9 +162,9 @@
     limits = {**PROFILE["limits"], "retryAfter": False, "secondCopies": True}
     family = {**PROFILE["familyInfo"], "takesPriority": False, "bills": False, "progress": 0.0}
     settings = settings_from({**PROFILE, "limits": limits, "familyInfo": family, "weights": "rough"})
-    assert settings.max_retry_after is None and settings.second_copies
-    assert settings.may_probe and settings.may_message
-    assert not settings.priorities and not settings.bills_work and settings.progress_period is None
+    assert settings.max_retry_after is None and settings.may_hedge
+    assert settings.may_health_check and settings.may_gossip
+    assert not settings.priorities and not settings.reports_work and settings.progress_period is None
     assert [c.waits_for_loads for c in settings.classes] == [False, True]
     assert settings.rules.attempt_budget == api.AttemptBudget(window=4.0, floor=5, share=0.1)
     free = {k: v for k, v in PROFILE["obligations"].items() if k != "countedOver"}
@@ -218,11 +227,11 @@
         api.EngineList(api.ListKind.REMEMBERED, (engine,), 3),
         api.Query("r", "l", 3.0, "t1", "ab", 4, 0.012, 64, False, True),
         api.AttemptEnded("r", "10.0.0.1:9000", 0, api.Outcome.OK, 0.0185, True, 0.017, 384.0, {"cpu": 0.5}),
-        api.Progress("r", "10.0.0.1:9000", 0, api.ProgressKind.SHARE_DONE, 0.5),
-        api.Gone("r"),
+        api.Progress("r", "10.0.0.1:9000", 0, api.ProgressKind.FRACTION_DONE, 0.5),
+        api.ClientDisconnected("r"),
         api.TimerFired("m"),
         api.PeerMessage(0, "hi"),
-        api.Probed("10.0.0.1:9000", 0.0015, api.Outcome.ERROR, None),
+        api.HealthCheckEnded("10.0.0.1:9000", 0.0015, api.Outcome.ERROR, None),
         api.AttemptStarted("r", "10.0.0.1:9000", 0, 0.00925),
     ]
     assert made.seed == 5
@@ -232,11 +241,11 @@
     recorder.say = [
         api.Send("r", "n", 1.5),
         api.SetTerms("r", 2, 640.0),
-        api.Refuse("r", 0.25),
-        api.Refuse("r"),
+        api.Reject("r", 0.25),
+        api.Reject("r"),
         api.Fail("r"),
         api.Cancel("r", 1),
-        api.Probe("n"),
+        api.HealthCheck("n"),
         api.SetTimer("sweep", 0.05),
         api.Watch(True),
         api.FetchList(),
@@ -364,14 +373,14 @@
         ({"classes": ()}, "classes"),
         ({"kinds": ()}, "kinds"),
         ({"balancers": 0}, "balancers"),
-        ({"kinds": (api.Kind("k", -1.0),)}, "cores"),
+        ({"kinds": (api.EngineKind("k", -1.0),)}, "cores"),
         ({"max_attempts": 0}, "max_attempts"),
-        ({"classes": (api.QueryClass("c", 1.0, 2.0, worth=-1.0),)}, "worth"),
-        ({"classes": (api.QueryClass("c", 0.0, 2.0),)}, "aim"),
-        ({"classes": (api.QueryClass("c", 1.0, 2.0, only_kinds=frozenset({"none"})),)}, "only_kinds"),
-        ({"classes": (api.QueryClass("c", 1.0, 2.0, only_zones=frozenset({"none"})),)}, "only_zones"),
+        ({"classes": (api.QueryClass("c", 1.0, 2.0, priority_weight=-1.0),)}, "priority_weight"),
+        ({"classes": (api.QueryClass("c", 0.0, 2.0),)}, "latency_objective"),
+        ({"classes": (api.QueryClass("c", 1.0, 2.0, allowed_kinds=frozenset({"none"})),)}, "only_kinds"),
+        ({"classes": (api.QueryClass("c", 1.0, 2.0, allowed_zones=frozenset({"none"})),)}, "only_zones"),
         ({"classes": (api.QueryClass("c", 1.0, 2.0),) * 2}, "classes"),
-        ({"rules": api.Rules(ramp_time=-1.0)}, "ramp_time"),
+        ({"rules": api.Rules(slow_start_time=-1.0)}, "slow_start_time"),
         ({"rules": api.Rules(attempt_budget=api.AttemptBudget(window=0.0))}, "attempt_budget.window"),
         ({"rules": api.Rules(attempt_budget=api.AttemptBudget(1.0, share=-0.1))}, "attempt_budget.share"),
         ({"rules": api.Rules(overload_time=float("nan"))}, "overload_time"),
@@ -381,7 +390,10 @@
     ],
 )
 def test_wrong_settings_name_the_field(changes: dict[str, Any], field: str) -> None:
-    values: dict[str, Any] = {"classes": (api.QueryClass("c", 1.0, 2.0),), "kinds": (api.Kind("k", 4.0),)}
+    values: dict[str, Any] = {
+        "classes": (api.QueryClass("c", 1.0, 2.0),),
+        "kinds": (api.EngineKind("k", 4.0),),
+    }
     with pytest.raises(ValueError, match=field):
         Settings(**{**values, **changes})
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -13,13 +13,13 @@
 
 from grebeproxy.policy.dealing import Ring, Seats
 from grebeproxy.policy.interface import (
-    ByHand,
+    ManualOverridesChanged,
     Engine,
     EngineState,
-    Kind,
+    EngineKind,
     ListKind,
     Outcome,
-    Retuned,
+    SettingsChanged,
     Send,
 )
 from grebeproxy.policy.placement import Placement
@@ -136,8 +136,8 @@
 
 
 def test_a_class_that_is_confined_to_a_rare_kind_finds_engines_of_it() -> None:
-    kinds = (Kind("medium", 8.0, 16000.0), Kind("rare", 8.0, 16000.0))
-    confined = replace(LONG, only_kinds=frozenset({"rare"}))
+    kinds = (EngineKind("medium", 8.0, 16000.0), EngineKind("rare", 8.0, 16000.0))
+    confined = replace(LONG, allowed_kinds=frozenset({"rare"}))
     settings = make_settings(balancers=ROUTERS, index=3, kinds=kinds, classes=(SHORT, confined))
     gateway = Gateway(settings, engines=0)
     gateway.tell(*(Engine(f"e{n}", "rare" if n % 40 == 0 else "medium") for n in range(ENGINES)))
@@ -150,7 +150,7 @@
 def break_down(gateway: Gateway, engines: set[str], way: str) -> None:
     """Makes engines of no use, as the list, operators, a restart or failing connections do."""
     if way == "by hand":
-        gateway.do(ByHand(frozenset(engines)))
+        gateway.do(ManualOverridesChanged(frozenset(engines)))
     elif way == "cold":
         fresh = [Engine(name, "medium", started=gateway.now) for name in sorted(engines)]
         gateway.tell(*fresh, how=ListKind.CHANGES)
@@ -175,7 +175,7 @@
     assert wider == set(order[: len(wider)]) and SIZE < len(wider) <= (1 + WIDEST) * SIZE
     assert len(wider - bad) >= SIZE / 2
     if way == "by hand":
-        gateway.do(ByHand(frozenset()))
+        gateway.do(ManualOverridesChanged(frozenset()))
         gateway.now += 60.0  # what operators give back is cold for a while
     elif way == "cold":
         gateway.now += 60.0
@@ -231,7 +231,7 @@
 def test_an_engine_that_left_the_subset_is_followed_until_what_is_out_there_has_ended() -> None:
     gateway = gateway_of(5)
     [send] = sends(gateway.ask(work=0.1))
-    gateway.do(Retuned(make_settings(balancers=ROUTERS, index=105)))
+    gateway.do(SettingsChanged(make_settings(balancers=ROUTERS, index=105)))
     assert send.engine in gateway.choice.nodes and send.engine not in subset(gateway)
     assert not finals(gateway.end(send, Outcome.OK, 0.1)) and not gateway.choice.jobs
     gateway.sweep(gateway.now + 0.3)
@@ -253,9 +253,9 @@
 def test_few_gateways_work_with_all_engines() -> None:
     gateway = gateway_of(1, engines=60, balancers=3)
     assert len(subset(gateway)) == 60
-    gateway.do(Retuned(make_settings(balancers=ROUTERS, index=1)))
+    gateway.do(SettingsChanged(make_settings(balancers=ROUTERS, index=1)))
     assert len(subset(gateway)) == SIZE
-    gateway.do(Retuned(make_settings(balancers=3, index=1)))
+    gateway.do(SettingsChanged(make_settings(balancers=3, index=1)))
     assert len(subset(gateway)) == 60
 
 
