--- a/grebeproxy/lab/capacity/measure/slow_start.py
+++ b/grebeproxy/lab/capacity/measure/slow_start.py
@@ -117,6 +117,6 @@
 def _allowed(time: float, rules: api.Rules) -> float:
     """Statements of mean work that an engine may get in the window that ends then, with what chance adds."""
     age = max(0.0, time - rules.overload_time / 2 - ENGINES_START)
-    warmth = rules.cold_fraction + (1.0 - rules.cold_fraction) * age / rules.ramp_time
+    warmth = rules.slow_start_fraction + (1.0 - rules.slow_start_fraction) * age / rules.slow_start_time
     budget = rules.overload_factor * rules.overload_time * BUSY_FRACTION * CORES * warmth / MEAN_WORK
     return budget + CHANCE_DEVIATIONS * sqrt(budget) + CHANCE_STATEMENTS
