--- a/grebeproxy/lab/capacity/measure/connections.py
+++ b/grebeproxy/lab/capacity/measure/connections.py
@@ -17,10 +17,10 @@
     total_answers,
     wait_until_serving,
 )
-from grebeproxy.lab.capacity.measure.process import KIBIBYTE, RouterProcess, configuration
+from grebeproxy.lab.capacity.measure.process import RouterProcess, configuration
 from grebeproxy.lab.capacity.measure.stub_servers import StubServers
 from grebeproxy.lab.capacity.measure.workload import Statements
-from grebeproxy.lab.record import Point
+from grebeproxy.lab.record import KIBIBYTE, Point
 
 CONNECTIONS = (500, 1000, 2000, 4000, 7500)
 ENGINES = 16
--- a/grebeproxy/lab/capacity/measure/engine_list.py
+++ b/grebeproxy/lab/capacity/measure/engine_list.py
@@ -7,9 +7,8 @@
 from collections.abc import Iterable
 
 from grebeproxy.lab.capacity.measure.engines import list_frame
-from grebeproxy.lab.capacity.measure.process import KIBIBYTE
 from grebeproxy.lab.capacity.measure.router_settings import profile, settings
-from grebeproxy.lab.record import Point
+from grebeproxy.lab.record import KIBIBYTE, Point
 from grebeproxy.net import admission
 from grebeproxy.net.changelog import CHANGES, FULL, HEAD, Decoder
 from grebeproxy.net.events import ChangeLogOpened, ChangeLogReceived
--- a/grebeproxy/lab/capacity/measure/process.py
+++ b/grebeproxy/lab/capacity/measure/process.py
@@ -18,14 +18,13 @@
 from grebeproxy.errors import GrebeproxyError
 from grebeproxy.lab.capacity.measure.engines import KnownEngines, known_engines
 from grebeproxy.lab.capacity.measure.router_settings import Fields, profile
-from grebeproxy.lab.record import MEBIBYTE
+from grebeproxy.lab.record import KIBIBYTE, MEBIBYTE
 
 HOST = "127.0.0.1"
 STOP_SECONDS = 10.0  # after SIGTERM, until the process is killed
 MAX_SOCKETS = 19_000  # of one router, under the machine's limit of 20,000 descriptors
 MEMORY_MB = 1024
 LOG_LINES = 5  # of the router's log, in an error
-KIBIBYTE = 1024
 
 
 class RouterFailedError(GrebeproxyError):
--- a/grebeproxy/lab/control/membership.py
+++ b/grebeproxy/lab/control/membership.py
@@ -9,7 +9,7 @@
 from grebeproxy.lab.control.addresses import name
 from grebeproxy.lab.control.fleet import Fleet, converged_fleet
 from grebeproxy.lab.control.usage import Traffic, Usage
-from grebeproxy.lab.record import Point
+from grebeproxy.lab.record import KIBIBYTE, Point
 
 SIZES = (60, 120, 240, 600)
 FAILURES = 3
@@ -34,7 +34,7 @@
     quiet = quiet_usage(fleet)
     values = {**quiet.rates("quiet", size * QUIET_SECONDS), **_failure_values(fleet, quiet)}
     members = memory.MEMORY_FACTOR * size
-    resident = {"memory_kb": memory.membership_bytes(members, seed) / memory.KIBIBYTE}
+    resident = {"memory_kb": memory.membership_bytes(members, seed) / KIBIBYTE}
     return [Point({"members": size}, values), Point({"members": members}, resident)]
 
 
--- a/grebeproxy/lab/control/memory.py
+++ b/grebeproxy/lab/control/memory.py
@@ -15,7 +15,6 @@
 from grebeproxy.replica import Limits
 
 MEMORY_FACTOR = 4  # memory is measured with more members than a fleet's traffic, since one router is enough
-KIBIBYTE = 1024
 CHANGE_COUNT_BITS = 48
 
 
--- a/grebeproxy/lab/control/replica.py
+++ b/grebeproxy/lab/control/replica.py
@@ -8,7 +8,7 @@
 from grebeproxy.lab.control.errors import NotReachedError
 from grebeproxy.lab.control.fleet import Fleet
 from grebeproxy.lab.control.usage import Traffic
-from grebeproxy.lab.record import Point
+from grebeproxy.lab.record import KIBIBYTE, Point
 from grebeproxy.replica import Limits
 
 SIZES = (30, 60, 120, 240)
@@ -34,7 +34,7 @@
     members = memory.MEMORY_FACTOR * size
     membership_bytes = memory.membership_bytes(members, seed)
     copies_bytes = memory.replica_bytes(members, seed, KEY_BYTES) - membership_bytes
-    resident = {"memory_kb": copies_bytes / memory.KIBIBYTE}
+    resident = {"memory_kb": copies_bytes / KIBIBYTE}
     return [Point({"members": size}, values), Point({"members": members}, resident)]
 
 
--- a/grebeproxy/lab/record.py
+++ b/grebeproxy/lab/record.py
@@ -18,7 +18,8 @@
 
 from grebeproxy.errors import GrebeproxyError
 
-MEBIBYTE = 1024 * 1024
+KIBIBYTE = 1024
+MEBIBYTE = 1024 * KIBIBYTE
 
 
 class RecordError(GrebeproxyError):
