--- a/examples/ask.py
+++ b/examples/ask.py
@@ -1,4 +1,4 @@
-"""Asks a router one query and prints what it answers.
+"""Sends one query to a router and prints the answer.
 
 python examples/ask.py examples/config.json lookup "SELECT n FROM ops_3.t"
 """
@@ -13,22 +13,25 @@
 import msgpack
 import orjson
 
+CONNECT_TIMEOUT = 10.0  # seconds
+REQUEST, FIRST_MESSAGE = 0, 1  # MessagePack-RPC: the type of a request, and its id
+
 
 def main(path: str, cls: str, statement: str) -> None:
-    """Ask over one connection, as the first tenant of the configuration."""
-    told = orjson.loads(Path(path).read_bytes())
-    host, port = told["listen"].split(":")
+    """Send it over one connection, as the first tenant of the configuration."""
+    configuration = orjson.loads(Path(path).read_bytes())
+    host, port = configuration["listen"].split(":")
     fields = {
         "txn": secrets.token_hex(8),
         "limit": "2000",
-        "team": told["settings"]["orgs"][0]["name"],
+        "team": configuration["settings"]["orgs"][0]["name"],
         "cpu": "80.0",
         "mb": "64",
     }
     if cls == "load":
         fields |= {"unique": secrets.token_hex(16), "item": secrets.token_hex(8)}
-    with socket.create_connection((host, int(port)), timeout=10) as connection:
-        connection.sendall(msgpack.packb([0, 1, cls, [fields, statement.encode()]]))
+    with socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT) as connection:
+        connection.sendall(msgpack.packb([REQUEST, FIRST_MESSAGE, cls, [fields, statement.encode()]]))
         unpacker = msgpack.Unpacker()
         while data := connection.recv(65536):
             unpacker.feed(data)
--- a/examples/toy_engines.py
+++ b/examples/toy_engines.py
@@ -2,7 +2,7 @@
 
     python examples/toy_engines.py examples/config.json
 
-Every statement is answered with six made-up rows on two pages after a twentieth of a second.
+Every statement is answered with the same six rows on two pages after ``ANSWER_DELAY`` seconds.
 """
 
 from __future__ import annotations
@@ -17,27 +17,30 @@
 
 ROWS = [f"{row}\trow {row}\tmade up\n".encode() for row in range(6)]
 PAGES = [b"".join(ROWS[:3]), b"".join(ROWS[3:])]
-THINKS = 0.05
+ANSWER_DELAY = 0.05  # seconds from a statement to its answer
+HEARTBEAT_INTERVAL = 1.0  # seconds between frames of the change log
+HEARTBEAT_LENGTH = struct.pack(">I", 9)  # the length of a frame with a sequence number and a kind only
 
 
 class ToyEngine(asyncio.Protocol):
     """One connection from a router."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start with nothing open."""
+        """Begin with no statement running."""
         assert isinstance(transport, asyncio.Transport)
-        self.transport, self.reader = transport, hiredis.Reader()
+        self.transport = transport
+        self.reader = hiredis.Reader()
         self.running: dict[bytes, asyncio.TimerHandle] = {}
 
     def data_received(self, data: bytes) -> None:
-        """Take commands."""
+        """Run, cancel, fetch or answer a health check, as each command says."""
         self.reader.feed(data)
-        while (words := self.reader.gets()) is not False:
-            match words:
+        while (command := self.reader.gets()) is not False:
+            match command:
                 case [b"REQ", txn, fields, body]:
                     print(f"engine: {txn.decode()} {fields.decode()} {body.decode()}", flush=True)
                     loop = asyncio.get_running_loop()
-                    self.running[txn] = loop.call_later(THINKS, self.served, txn)
+                    self.running[txn] = loop.call_later(ANSWER_DELAY, self.served, txn)
                 case [b"STOP", txn] if txn in self.running:
                     self.running.pop(txn).cancel()
                 case [b"FETCH", txn, page]:
@@ -46,40 +49,40 @@
                     self.answer(tag, b"yes", b"-", b"")
 
     def served(self, txn: bytes) -> None:
-        """The first page, and how many there are."""
+        """Answer a statement with its first page and the number of pages."""
         del self.running[txn]
         gauges = b"gauges=cpu_share:0.1;pending:0;x0:0.05"
         self.answer(txn, b"ok", b"count=%d,%s" % (len(PAGES), gauges), PAGES[0])
 
-    def answer(self, *words: bytes) -> None:
+    def answer(self, *arguments: bytes) -> None:
         """Write one answer."""
-        self.transport.write(hiredis.pack_command(words))
+        self.transport.write(hiredis.pack_command(arguments))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Give up what is open on it."""
+        """Cancel the statements that still run on this connection."""
         for timer in self.running.values():
             timer.cancel()
 
 
-async def toy_log(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A change log in which nothing new happens."""
+async def toy_change_log(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """A change log that sends heartbeats and no change."""
     try:
         seq = await reader.readexactly(8)
         while not reader.at_eof():
-            writer.write(struct.pack(">I", 9) + seq + b"\0")
+            writer.write(HEARTBEAT_LENGTH + seq + b"\0")
             await writer.drain()
-            await asyncio.sleep(1)
+            await asyncio.sleep(HEARTBEAT_INTERVAL)
     except (OSError, asyncio.IncompleteReadError):
         pass
     writer.close()
 
 
 async def main(path: str) -> None:
-    """Listen wherever the configuration says that engines and the change log are."""
-    told = orjson.loads(Path(path).read_bytes())
-    host, port = told["changelog"].split(":")
-    await asyncio.start_server(toy_log, host, int(port))
-    for result in told["known"]["results"]:
+    """Listen at the addresses that the configuration names for the engines and the change log."""
+    configuration = orjson.loads(Path(path).read_bytes())
+    host, port = configuration["changelog"].split(":")
+    await asyncio.start_server(toy_change_log, host, int(port))
+    for result in configuration["known"]["results"]:
         for entry in result["fleet"]["endpoints"]:
             host, port = entry["address"].split(":")
             await asyncio.get_running_loop().create_server(ToyEngine, host, int(port))
