--- a/grebeproxy/lab/record.py
+++ b/grebeproxy/lab/record.py
@@ -12,20 +12,22 @@
 from dataclasses import asdict, dataclass
 from datetime import UTC, datetime
 from pathlib import Path
-from typing import Any
 
 import orjson
 
-MEBIBYTE = 1024 * 1024
+from grebeproxy.errors import GrebeproxyError
 
+KIBIBYTE = 1024
+MEBIBYTE = 1024 * KIBIBYTE
 
-class RecordError(Exception):
+
+class RecordError(GrebeproxyError):
     """A record that cannot be read; the text begins with the file's name."""
 
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """The machine that a measurement ran on."""
+    """The machine that a measurement ran on. ``memory_mb`` is its physical memory in MiB."""
 
     cores: int
     memory_mb: int
@@ -40,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """One measured point: the sizes it was taken at, and the values that were read there."""
+    """One measured point: its sizes (number of routers, engines, ...), and the values measured there."""
 
     sizes: Mapping[str, float]
     values: Mapping[str, float]
@@ -48,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One run of one measurement."""
+    """One run of one measurement. ``recorded_at`` is an ISO 8601 time in UTC."""
 
     name: str
     command: str
@@ -66,23 +68,24 @@
 
 
 def record_now(name: str, command: str, seed: int, points: tuple[Point, ...], note: str = "") -> Record:
-    """A record of points measured just now by the code that is checked out."""
+    """A record of points that the checked out code has just measured on this machine."""
     recorded_at = datetime.now(UTC).isoformat(timespec="seconds")
     return Record(name, command, current_commit(), recorded_at, Machine.this(), seed, points, note)
 
 
 def load_record(path: Path) -> Record:
-    """Read a record. Raises ``RecordError``."""
+    """Read a record. Raises ``RecordError`` for a file that is missing or is not a record."""
     try:
-        fields: dict[str, Any] = orjson.loads(path.read_bytes())
-        points = tuple(Point(point["sizes"], point["values"]) for point in fields.pop("points"))
-        return Record(**{**fields, "machine": Machine(**fields["machine"]), "points": points})
+        document = orjson.loads(path.read_bytes())
+        points = tuple(Point(point["sizes"], point["values"]) for point in document.pop("points"))
+        machine = Machine(**document.pop("machine"))
+        return Record(machine=machine, points=points, **document)
     except (OSError, orjson.JSONDecodeError, KeyError, TypeError) as error:
         raise RecordError(f"{path.name}: {error}") from None
 
 
 def current_commit() -> str:
-    """The commit that is checked out, with ``+changes`` where the tree differs from it."""
+    """The commit that is checked out, with ``+changes`` if tracked files differ from it."""
     try:
         commit = _git("rev-parse", "--short=12", "HEAD")
         return commit + ("+changes" if _git("status", "--porcelain", "--untracked-files=no") else "")
--- a/grebeproxy/lab/scale/changelog_run.py
+++ b/grebeproxy/lab/scale/changelog_run.py
@@ -1,147 +1,183 @@
-"""The run ``changelog``: how the engine list and its changes reach all routers, and what that costs each."""
+"""The run ``changelog``: how soon the engine list and its changes reach all routers, and at what cost."""
 
 from __future__ import annotations
 
 import time
+from dataclasses import dataclass
 
 from grebeproxy.lab.record import MEBIBYTE, Point
-from grebeproxy.lab.scale.changelog_server import ChangeLog, Published, Served
-from grebeproxy.lab.scale.deployment import DRAINING, UP, EngineRecord, engine_addresses
-from grebeproxy.lab.scale.processes import Worker, Workers
-from grebeproxy.lab.scale.run import (
-    Fleet,
-    Options,
-    Outcome,
-    Progress,
-    SizeNotReachedError,
-    Usage,
-    used_between,
+from grebeproxy.lab.scale.addresses import engine_addresses
+from grebeproxy.lab.scale.changelog_server import (
+    FIRST_LIST_SEQ,
+    ChangeLog,
+    ChangeLogTotals,
+    PublishedEvent,
 )
+from grebeproxy.lab.scale.deployment import DRAINING, UP, EngineRecord
+from grebeproxy.lab.scale.fleet import Fleet
+from grebeproxy.lab.scale.processes import Worker, Workers
+from grebeproxy.lab.scale.run import Options, Outcome, Progress, SizeNotReachedError
+from grebeproxy.lab.scale.usage import Usage, used_between
+
+SINGLE_CHANGES = 6  # each is measured separately
+RACKS = 80  # a rack is that part of the engines
+USABLE_MEMORY = 0.85  # of the memory limit, which a size may be expected to use
+PAUSE_BETWEEN_CHANGES_S = 0.1
+SIZE_STEP = 100  # reduced sizes are multiples of it
+KIB_PER_MIB = 1024
+MS_PER_SECOND = 1000
+US_PER_SECOND = 1e6
+
+
+@dataclass(frozen=True, slots=True)
+class Pair:
+    """How many routers follow a list of how many engines."""
 
-CHANGES = 6  # single changes, each measured by itself
-RACK_PART = 80  # a rack is one in so many engines
-FILLED = 0.85  # part of the memory that a size may be expected to take
-SETTLE_S = 0.1  # between changes
+    routers: int
+    engines: int
+
+
+@dataclass(frozen=True, slots=True)
+class ChangeCost:
+    """What one event took: seconds until it was written and applied by all, and the cost per router."""
+
+    applied_s: float
+    written_s: float
+    cpu_s: float
+    frame_bytes: float
 
 
 def run_changelog(options: Options, progress: Progress, outcome: Outcome) -> None:
-    """Each size with the most engines, and the first size with each smaller number of engines.
+    """Measure each size with the most engines, and the smallest size with each smaller number of engines.
 
-    A size that would not fit the memory is played twice: with as many routers as fit, and with as many
-    engines as fit.
+    A size that would not fit into memory is replaced by two: as many routers as fit with all engines, and all
+    routers with as many engines as fit.
     """
-    most = max(options.engines)
-    pairs = [(min(options.sizes), engines) for engines in sorted(options.engines) if engines != most]
-    pairs += [(size, most) for size in sorted(options.sizes)]
-    pair_mb = 0.0  # what one router held of one engine at the size before
-    for size, engines in pairs:
-        wanted_mb = size * engines * pair_mb
-        if wanted_mb <= FILLED * options.memory_mb:
-            played = [(size, engines)]
-        else:
-            part = FILLED * options.memory_mb / wanted_mb
-            played = [(_hundreds(size * part), engines), (size, _hundreds(engines * part))]
-            outcome.notes.append(
-                f"{size} routers with {engines} engines would hold {wanted_mb:.0f} MB "
-                f"of {options.memory_mb} MB; played instead: {played}"
-            )
-            progress.line(outcome.notes[-1])
-        for pair in played:
+    most_engines = max(options.engines)
+    pairs = [
+        Pair(min(options.sizes), engines) for engines in sorted(options.engines) if engines != most_engines
+    ]
+    pairs += [Pair(size, most_engines) for size in sorted(options.sizes)]
+    mb_per_pair = 0.0  # memory that one router used for one engine at the size before
+    for pair in pairs:
+        for fitting in _fitting(pair, mb_per_pair, options, progress, outcome):
             try:
-                point = measure_changelog(*pair, options, progress)
-            except SizeNotReachedError as ended:
-                outcome.notes.append(f"{pair[0]} routers with {pair[1]} engines: ended by {ended}")
-                progress.line(outcome.notes[-1])
+                point = measure_changelog(fitting, options, progress)
+            except SizeNotReachedError as reason:
+                outcome.add_note(
+                    f"{fitting.routers} routers with {fitting.engines} engines: ended by {reason}", progress
+                )
                 continue
             outcome.points.append(point)
-            pair_mb = point.values["memory_kb"] / 1024 / pair[1]
+            mb_per_pair = point.values["memory_kb"] / KIB_PER_MIB / fitting.engines
+
+
+def _fitting(
+    pair: Pair, mb_per_pair: float, options: Options, progress: Progress, outcome: Outcome
+) -> list[Pair]:
+    """The pair itself if it is expected to fit into memory, or two reduced ones."""
+    expected_mb = pair.routers * pair.engines * mb_per_pair
+    if expected_mb <= USABLE_MEMORY * options.memory_mb:
+        return [pair]
+    part = USABLE_MEMORY * options.memory_mb / expected_mb
+    reduced = [
+        Pair(_rounded_down(pair.routers * part), pair.engines),
+        Pair(pair.routers, _rounded_down(pair.engines * part)),
+    ]
+    replacements = [(each.routers, each.engines) for each in reduced]
+    outcome.add_note(
+        f"{pair.routers} routers with {pair.engines} engines would need {expected_mb:.0f} MB "
+        f"of {options.memory_mb} MB; measured instead: {replacements}",
+        progress,
+    )
+    return reduced
 
 
-def _hundreds(value: float) -> int:
-    return max(1, int(value) // 100 * 100)
+def _rounded_down(value: float) -> int:
+    return max(1, int(value) // SIZE_STEP * SIZE_STEP)
 
 
-def measure_changelog(size: int, engines: int, options: Options, progress: Progress) -> Point:
-    """One point: the whole list, a quiet time, single changes, and a rack that goes and comes back."""
-    progress.line(f"changelog: {size} routers, {engines} engines")
-    records = [EngineRecord(n, address) for n, address in enumerate(engine_addresses(engines), 1)]
+def measure_changelog(pair: Pair, options: Options, progress: Progress) -> Point:
+    """Measure one point: the full list, a time without changes, single changes, and a rack that drains."""
+    size = pair.routers
+    progress.line(f"changelog: {size} routers, {pair.engines} engines")
+    records = [
+        EngineRecord(number, address) for number, address in enumerate(engine_addresses(pair.engines), 1)
+    ]
     with Workers() as workers:
         log = workers.start(ChangeLog)
         fleet = Fleet(workers, options)
         fleet.prepare(size, size, log.call("listen", records), None)
-        values = _whole_list(fleet, log, size)
-        fleet.wait(lambda: min(_engines_known(fleet)) == engines, "the whole list")
-        progress.line(f"  whole list at all after {values['whole_last_s']:.2f} s")
-        values["memory_kb"] = (fleet.resident_bytes() - fleet.empty_bytes) / size / 1024
+        values = _full_list(fleet, log, size)
+        fleet.wait_until(lambda: min(fleet.engines_known() or [0]) == pair.engines, "the full list")
+        progress.line(f"  full list at all routers after {values['whole_last_s']:.2f} s")
+        values["memory_kb"] = fleet.memory_kb_per_router(size)
         values |= _quiet(fleet.measure(options.quiet_s), size)
-        values |= _changes(fleet, log, size, engines)
-        progress.line(f"  a change at all after {values['change_last_s']:.3f} s")
-        values["lost_connections"] = float(
-            sum(process.call("lost_connections") for process in fleet.processes)
-        )
-        served: Served = log.call("served")
+        values |= _changes(fleet, log, pair)
+        progress.line(f"  a change at all routers after {values['change_last_s']:.3f} s")
+        values["lost_connections"] = float(fleet.lost_connections())
+        totals: ChangeLogTotals = log.call("totals")
         values["log_memory_mb"] = workers.resident_bytes() / MEBIBYTE - fleet.resident_bytes() / MEBIBYTE
-        values["log_bytes"], values["log_cpu_s"] = float(served.bytes_sent), served.cpu_s
-    return Point({"routers": float(size), "engines": float(engines)}, values)
-
-
-def _engines_known(fleet: Fleet) -> list[int]:
-    return [int(str(known)) for known in fleet.gather("engines_known")] or [0]
-
-
-def _applied(fleet: Fleet, seq: int) -> list[float]:
-    return [float(str(at)) for at in fleet.gather("applied", seq)]
+        values["log_bytes"] = float(totals.bytes_sent)
+        values["log_cpu_s"] = totals.cpu_s
+    return Point({"routers": float(size), "engines": float(pair.engines)}, values)
 
 
-def _whole_list(fleet: Fleet, log: Worker, size: int) -> dict[str, float]:
-    before, began = fleet.snapshots(), time.monotonic()
+def _full_list(fleet: Fleet, log: Worker, size: int) -> dict[str, float]:
+    before = fleet.snapshots()
+    began = time.monotonic()
     fleet.start(0.0)
-    fleet.wait(lambda: len(_applied(fleet, 1)) == size, "the whole list")
+    fleet.wait_until(lambda: len(fleet.applied_at(FIRST_LIST_SEQ)) == size, "the full list")
     usage = used_between(before, fleet.snapshots())
-    served: Served = log.call("served")
+    totals: ChangeLogTotals = log.call("totals")
     return {
-        "whole_last_s": max(_applied(fleet, 1)) - began,
-        "whole_cpu_ms": 1000 * usage.total.cpu_s / size,
+        "whole_last_s": max(fleet.applied_at(FIRST_LIST_SEQ)) - began,
+        "whole_cpu_ms": MS_PER_SECOND * usage.total.cpu_s / size,
         "whole_bytes": usage.total.bytes_received / size,
-        "whole_lists_sent": float(served.whole_lists),
+        "whole_lists_sent": float(totals.full_lists),
     }
 
 
 def _quiet(usage: Usage, size: int) -> dict[str, float]:
     return {
-        "quiet_cpu_us_per_s": 1e6 * usage.total.cpu_s / size / usage.seconds,
-        "quiet_process_cpu_us_per_s": 1e6 * usage.process_cpu_s / size / usage.seconds,
+        "quiet_cpu_us_per_s": US_PER_SECOND * usage.total.cpu_s / size / usage.seconds,
+        "quiet_process_cpu_us_per_s": US_PER_SECOND * usage.process_cpu_s / size / usage.seconds,
         "quiet_bytes_per_s": usage.total.bytes_received / size / usage.seconds,
     }
 
 
-def _changes(fleet: Fleet, log: Worker, size: int, engines: int) -> dict[str, float]:
-    single = [
-        _publish(fleet, log, [number], DRAINING, size) for number in range(1, min(CHANGES, engines) + 1)
-    ]
-    rack = list(range(1, max(1, engines // RACK_PART) + 1))
-    gone, back = _publish(fleet, log, rack, DRAINING, size), _publish(fleet, log, rack, UP, size)
+def _changes(fleet: Fleet, log: Worker, pair: Pair) -> dict[str, float]:
+    size = pair.routers
+    last_single = min(SINGLE_CHANGES, pair.engines)
+    singles = [_publish(fleet, log, [number], DRAINING, size) for number in range(1, last_single + 1)]
+    rack = list(range(1, max(1, pair.engines // RACKS) + 1))
+    drained = _publish(fleet, log, rack, DRAINING, size)
+    restored = _publish(fleet, log, rack, UP, size)
     return {
-        "change_last_s": max(last for last, _, _, _ in single),
-        "change_written_s": max(written for _, written, _, _ in single),
-        "change_cpu_us": 1e6 * sum(cpu for _, _, cpu, _ in single) / len(single),
-        "change_bytes": sum(size_ for _, _, _, size_ in single) / len(single),
+        "change_last_s": max(cost.applied_s for cost in singles),
+        "change_written_s": max(cost.written_s for cost in singles),
+        "change_cpu_us": US_PER_SECOND * sum(cost.cpu_s for cost in singles) / len(singles),
+        "change_bytes": sum(cost.frame_bytes for cost in singles) / len(singles),
         "rack_engines": float(len(rack)),
-        "rack_last_s": max(gone[0], back[0]),
-        "rack_cpu_us": 1e6 * max(gone[2], back[2]),
-        "rack_bytes": gone[3],
+        "rack_last_s": max(drained.applied_s, restored.applied_s),
+        "rack_cpu_us": US_PER_SECOND * max(drained.cpu_s, restored.cpu_s),
+        "rack_bytes": drained.frame_bytes,
     }
 
 
-def _publish(
-    fleet: Fleet, log: Worker, numbers: list[int], state: int, size: int
-) -> tuple[float, float, float, float]:
-    """Seconds until the last has it and until it was written, CPU seconds and bytes of each router."""
+def _publish(fleet: Fleet, log: Worker, numbers: list[int], state: int, size: int) -> ChangeCost:
+    """Publish another state of these engines and wait until all routers have applied it."""
     before = fleet.snapshots()
-    published: Published = log.call("set_state", numbers, state)
-    fleet.wait(lambda: len(_applied(fleet, published.seq)) == size, f"event {published.seq}")
-    last = max(_applied(fleet, published.seq)) - published.began
+    event: PublishedEvent = log.call("set_state", numbers, state)
+    applied_s = seconds_until_applied(fleet, event, size)
     usage = used_between(before, fleet.snapshots())
-    time.sleep(SETTLE_S)
-    cpu = usage.total.cpu_s / size
-    return last, published.ended - published.began, cpu, float(published.frame_bytes)
+    time.sleep(PAUSE_BETWEEN_CHANGES_S)
+    return ChangeCost(
+        applied_s, event.ended - event.began, usage.total.cpu_s / size, float(event.frame_bytes)
+    )
+
+
+def seconds_until_applied(fleet: Fleet, event: PublishedEvent, size: int) -> float:
+    """Wait for an event; returns the seconds from its publication until the last router applied it."""
+    fleet.wait_until(lambda: len(fleet.applied_at(event.seq)) == size, f"event {event.seq}")
+    return max(fleet.applied_at(event.seq)) - event.began
--- a/grebeproxy/lab/scale/changelog_server.py
+++ b/grebeproxy/lab/scale/changelog_server.py
@@ -1,4 +1,4 @@
-"""A stand-in change log: tells any number of routers of the engines, whole and as changes."""
+"""A change log server: sends the engine list and its changes to any number of routers."""
 
 from __future__ import annotations
 
@@ -8,30 +8,31 @@
 from dataclasses import dataclass, replace
 from typing import cast
 
-from grebeproxy.lab.scale.deployment import Address, EngineRecord
+from grebeproxy.lab.scale.addresses import LOOPBACK_HOST, Address
+from grebeproxy.lab.scale.deployment import EngineRecord
 from grebeproxy.net import changelog, follower
 
-HELLO = struct.Struct(">Q")
-SIGN_OF_LIFE_S = 0.9 * follower.FRAMES  # a frame is due each second
+HELLO = struct.Struct(">Q")  # the last event that the router has, 0 for none
+HEARTBEAT_S = 0.9 * follower.FRAMES  # routers expect a frame each second
 BACKLOG = 4096
-HOST = "127.0.0.1"
+FIRST_LIST_SEQ = 1
 
 
 @dataclass(frozen=True, slots=True)
-class Served:
-    """What the change log has sent since its start."""
+class ChangeLogTotals:
+    """What the change log has sent since its start. CPU in seconds."""
 
     connections: int
     bytes_sent: int
-    whole_lists: int
+    full_lists: int
     change_frames: int
-    life_frames: int
+    heartbeat_frames: int
     cpu_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Published:
-    """One event, and when it began to be written and was handed to the system for the last router."""
+class PublishedEvent:
+    """One event. Times on the machine's clock: before the first write and after the last one."""
 
     seq: int
     began: float
@@ -45,46 +46,48 @@
 
 
 class Subscriber(asyncio.Protocol):
-    """One router's connection."""
+    """The connection of one router."""
 
     def __init__(self, log: ChangeLog) -> None:
-        self._log, self._buffer = log, b""
+        self._log = log
+        self._buffer = b""
         self._transport: asyncio.Transport | None = None
-        self._timer: asyncio.TimerHandle | None = None
-        self.host, self.port = "", 0
+        self._heartbeat_timer: asyncio.TimerHandle | None = None
+        self.port = 0
         self.bytes_sent = 0
         self.hello: int | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A router has connected; it says which event it has."""
+        """Wait for the hello, which names the last event that the router has."""
         self._transport = cast(asyncio.Transport, transport)
-        self.host, self.port = transport.get_extra_info("peername")[:2]
+        self.port = transport.get_extra_info("peername")[1]
 
     def data_received(self, data: bytes) -> None:
-        """Take the hello and send what is new."""
+        """Read the hello and send the events after it."""
         self._buffer += data
         if self.hello is None and len(self._buffer) >= HELLO.size:
             (self.hello,) = HELLO.unpack_from(self._buffer)
             self._log.subscribe(self, self.hello)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The router is gone."""
-        if self._timer is not None:
-            self._timer.cancel()
+        """Stop the heartbeats."""
+        if self._heartbeat_timer is not None:
+            self._heartbeat_timer.cancel()
         self._log.unsubscribe(self)
 
     def write(self, data: bytes) -> None:
-        """Send a frame; the next sign of life is due a while after it."""
+        """Send frames, and schedule a heartbeat in case no other frame follows."""
         if self._transport is None or self._transport.is_closing():
             return
         self._transport.write(data)
         self.bytes_sent += len(data)
-        if self._timer is not None:
-            self._timer.cancel()
-        self._timer = asyncio.get_running_loop().call_later(SIGN_OF_LIFE_S, self._sign_of_life)
+        if self._heartbeat_timer is not None:
+            self._heartbeat_timer.cancel()
+        loop = asyncio.get_running_loop()
+        self._heartbeat_timer = loop.call_later(HEARTBEAT_S, self._send_heartbeat)
 
-    def _sign_of_life(self) -> None:
-        self.write(self._log.sign_of_life())
+    def _send_heartbeat(self) -> None:
+        self.write(self._log.heartbeat())
 
     def abort(self) -> None:
         """Cut the connection."""
@@ -93,99 +96,102 @@
 
 
 class ChangeLog:
-    """The events, and all who follow them."""
+    """The service of one process: all events, and the routers that follow them."""
 
     def __init__(self) -> None:
         self._engines: dict[int, EngineRecord] = {}
-        self._seq = 1  # the first list
-        self._changes: dict[int, bytes] = {}
+        self._seq = FIRST_LIST_SEQ
+        self._changes: dict[int, bytes] = {}  # frames by event
         self._subscribers: set[Subscriber] = set()
         self._server: asyncio.Server | None = None
-        self._whole: bytes | None = None
-        self._bytes_sent = self._whole_lists = self._change_frames = self._life_frames = 0
-        self._hellos: dict[Address, int] = {}
+        self._full_list: bytes | None = None  # the frame for the current event, once it was needed
+        self._bytes_sent = 0  # on connections that have ended
+        self._full_lists = 0
+        self._change_frames = 0
+        self._heartbeat_frames = 0
 
     async def listen(self, engines: list[EngineRecord]) -> Address:
-        """Begin to serve, with these engines as the first list; tells where."""
+        """Serve these engines as the first list; returns the server's address."""
         self._engines = {engine.number: engine for engine in engines}
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: Subscriber(self), HOST, 0, backlog=BACKLOG)
+        self._server = await loop.create_server(lambda: Subscriber(self), LOOPBACK_HOST, 0, backlog=BACKLOG)
         host, port = self._server.sockets[0].getsockname()
         return host, port
 
     async def close(self) -> None:
-        """End all connections."""
+        """Stop serving and cut all connections."""
         if self._server is not None:
             self._server.close()
         self.disconnect_all()
-        await asyncio.sleep(0.0)
+        await asyncio.sleep(0.0)  # the transports close in the next turn of the loop
 
-    def publish(self, engines: list[EngineRecord]) -> Published:
-        """Tell all of these engines' new records as the next event."""
+    def publish(self, engines: list[EngineRecord]) -> PublishedEvent:
+        """Send new records of these engines as the next event."""
         began = time.monotonic()
         self._seq += 1
-        self._whole = None
+        self._full_list = None
         self._engines |= {engine.number: engine for engine in engines}
         data = frame(self._seq, changelog.CHANGES, b"".join(engine.pack() for engine in engines))
         self._changes[self._seq] = data
         for subscriber in self._subscribers:
             subscriber.write(data)
         self._change_frames += len(self._subscribers)
-        return Published(self._seq, began, time.monotonic(), len(data))
+        return PublishedEvent(self._seq, began, time.monotonic(), len(data))
 
-    def set_state(self, numbers: list[int], state: int) -> Published:
-        """Publish another state of engines that are known."""
+    def set_state(self, numbers: list[int], state: int) -> PublishedEvent:
+        """Publish another state of known engines. Raises ``KeyError`` for an unknown one."""
         return self.publish([replace(self._engines[number], state=state) for number in numbers])
 
-    def served(self) -> Served:
-        """Totals since the start."""
-        sent = self._bytes_sent + sum(subscriber.bytes_sent for subscriber in self._subscribers)
-        return Served(
+    def totals(self) -> ChangeLogTotals:
+        """What was sent since the start."""
+        bytes_sent = self._bytes_sent + sum(subscriber.bytes_sent for subscriber in self._subscribers)
+        return ChangeLogTotals(
             len(self._subscribers),
-            sent,
-            self._whole_lists,
+            bytes_sent,
+            self._full_lists,
             self._change_frames,
-            self._life_frames,
+            self._heartbeat_frames,
             time.process_time(),
         )
 
     def hellos(self) -> list[int]:
-        """The events that the routers named when they connected, of the connections that are up."""
+        """The events named in the hellos of the open connections, in ascending order."""
         return sorted(subscriber.hello for subscriber in self._subscribers if subscriber.hello is not None)
 
     def bytes_by_port(self) -> dict[int, int]:
-        """Bytes sent on each connection that is up, by the router's port."""
+        """Bytes sent on each open connection, by the router's port."""
         return {subscriber.port: subscriber.bytes_sent for subscriber in self._subscribers}
 
     def disconnect_all(self) -> None:
-        """Cut all connections: the routers connect anew and say what they have."""
+        """Cut all connections, so that the routers connect again and name the last event they have."""
         for subscriber in list(self._subscribers):
             subscriber.abort()
 
-    def sign_of_life(self) -> bytes:
-        """The frame that says that nothing is new."""
-        self._life_frames += 1
+    def heartbeat(self) -> bytes:
+        """A frame without news."""
+        self._heartbeat_frames += 1
         return frame(self._seq, changelog.NOTHING)
 
     def subscribe(self, subscriber: Subscriber, seq: int) -> None:
-        """Send what came after that event: the changes where all are kept, else the whole list."""
+        """Send the changes after that event, or the full list to a router that has none of them."""
         self._subscribers.add(subscriber)
         missing = range(seq + 1, self._seq + 1)
         if seq and all(number in self._changes for number in missing):
-            subscriber.write(b"".join(self._changes[number] for number in missing) or self.sign_of_life())
+            changes = b"".join(self._changes[number] for number in missing)
+            subscriber.write(changes or self.heartbeat())
             self._change_frames += len(missing)
         else:
-            subscriber.write(self._whole_list())
-            self._whole_lists += 1
+            subscriber.write(self._full_list_frame())
+            self._full_lists += 1
 
     def unsubscribe(self, subscriber: Subscriber) -> None:
-        """The router has gone."""
+        """Forget an ended connection; the bytes sent on it still count."""
         if subscriber in self._subscribers:
             self._subscribers.remove(subscriber)
             self._bytes_sent += subscriber.bytes_sent
 
-    def _whole_list(self) -> bytes:
-        if self._whole is None:
+    def _full_list_frame(self) -> bytes:
+        if self._full_list is None:
             records = b"".join(engine.pack() for engine in self._engines.values())
-            self._whole = frame(self._seq, changelog.FULL, records)
-        return self._whole
+            self._full_list = frame(self._seq, changelog.FULL, records)
+        return self._full_list
--- a/grebeproxy/lab/scale/clients.py
+++ b/grebeproxy/lab/scale/clients.py
@@ -1,4 +1,4 @@
-"""Clients of real routers: an open loop of small statements, each answer timed."""
+"""Clients of real routers: an open loop of small statements, with the latency of each answer."""
 
 from __future__ import annotations
 
@@ -11,30 +11,34 @@
 
 import msgpack
 
-from grebeproxy.lab.scale.deployment import TENANT, Address
+from grebeproxy.lab.scale.addresses import Address
+from grebeproxy.lab.scale.deployment import TENANT
 
-REQUEST = 0
-LIMIT_MS = 2000
-LAST_ANSWERS_S = LIMIT_MS / 1000 + 0.5
+REQUEST = 0  # a message type of MessagePack-RPC
+REJECTED = "TryLater"  # the error of a router that sheds load
+DEADLINE_MS = 2000
+LAST_ANSWERS_S = DEADLINE_MS / 1000 + 0.5
+POLL_INTERVAL_S = 0.05
 STATEMENT = b"SELECT n FROM ops_%d.t"
 TABLE_GROUPS = 50
+MS_PER_SECOND = 1000
 
 
 @dataclass(frozen=True, slots=True)
-class ClientFigures:
+class ClientTotals:
     """How the clients of one router were served.
 
-    Times in milliseconds, of what was served; the limit of a statement where nothing was.
+    Latencies in milliseconds, of the answered statements; the deadline if there is none.
     """
 
-    asked: int
-    served: int
-    refused: int
+    sent: int
+    answered: int
+    rejected: int
     failed: int
     unanswered: int
     p50_ms: float
     p99_ms: float
-    most_ms: float
+    max_ms: float
 
 
 class ClientConnection(asyncio.Protocol):
@@ -43,123 +47,138 @@
     def __init__(self) -> None:
         self._unpacker = msgpack.Unpacker()
         self._transport: asyncio.Transport | None = None
-        self._asked: dict[int, float] = {}
-        self._number = 0
-        self.latencies: list[float] = []
-        self.refused = self.failed = self.asked = 0
+        self._sent_at: dict[int, float] = {}  # of the statements that are not answered yet
+        self._last_number = 0
+        self.latencies_s: list[float] = []
+        self.sent = 0
+        self.rejected = 0
+        self.failed = 0
 
     @property
-    def waits(self) -> bool:
-        """An answer is still to come."""
-        return self._transport is not None and bool(self._asked)
+    def is_waiting(self) -> bool:
+        """Whether an answer is still expected."""
+        return self._transport is not None and bool(self._sent_at)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The router is there."""
+        """Be ready to send."""
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """What is out stays without an answer."""
+        """Expect no more answers."""
         self._transport = None
 
-    def ask(self, rng: Random) -> None:
-        """Send one statement."""
-        self.asked += 1
+    def send_statement(self, rng: Random) -> None:
+        """Send one statement. On a lost connection it counts as sent and stays unanswered."""
+        self.sent += 1
         if self._transport is None:
             return
-        self._number += 1
+        self._last_number += 1
         fields = {
             "txn": f"{rng.getrandbits(64):016x}",
-            "limit": str(LIMIT_MS),
+            "limit": str(DEADLINE_MS),
             "team": TENANT,
             "cpu": "5.0",
             "mb": "16",
         }
         body = STATEMENT % rng.randrange(TABLE_GROUPS)
-        self._asked[self._number] = time.monotonic()
-        self._transport.write(msgpack.packb([REQUEST, self._number, "lookup", [fields, body]]))
+        self._sent_at[self._last_number] = time.monotonic()
+        self._transport.write(msgpack.packb([REQUEST, self._last_number, "lookup", [fields, body]]))
 
     def data_received(self, data: bytes) -> None:
-        """Take answers."""
+        """Count the answers."""
         self._unpacker.feed(data)
         for _, number, error, _ in self._unpacker:
-            asked_at = self._asked.pop(number)
+            sent_at = self._sent_at.pop(number)
             if error is None:
-                self.latencies.append(time.monotonic() - asked_at)
-            elif error[0] == "TryLater":
-                self.refused += 1
+                self.latencies_s.append(time.monotonic() - sent_at)
+            elif error[0] == REJECTED:
+                self.rejected += 1
             else:
                 self.failed += 1
 
     def close(self) -> None:
-        """End the connection."""
+        """Cut the connection."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class Clients:
-    """The service: clients of some routers."""
+    """The service of one process: the clients of some routers, with ``connections`` to each of them."""
 
     def __init__(self, routers: list[Address], connections: int, seed: int) -> None:
-        self._routers, self._each, self._rng = routers, connections, Random(seed)
-        self._connections: list[list[ClientConnection]] = []
+        self._routers = routers
+        self._connections_per_router = connections
+        self._rng = Random(seed)
+        self._connections: list[list[ClientConnection]] = []  # by router
+
+    async def run(self, seconds: float, rate: float) -> list[ClientTotals]:
+        """Send ``rate`` statements a second to each router, at random moments; returns totals by router."""
+        await self._connect()
+        end = time.monotonic() + seconds
+        async with asyncio.TaskGroup() as senders:
+            for connections in self._connections:
+                senders.create_task(self._send_statements(connections, rate, end))
+        await self._wait_for_answers()
+        return [_totals(connections) for connections in self._connections]
 
     async def _connect(self) -> None:
-        """Connect to all routers anew: they close on connections that were silent for a while."""
+        """Open new connections: routers close those that were idle for a while."""
         await self.close()
-        self._connections = []
+        self._connections = [await self._connect_to(router) for router in self._routers]
+
+    async def _connect_to(self, router: Address) -> list[ClientConnection]:
         loop = asyncio.get_running_loop()
-        for address in self._routers:
-            made = []
-            for _ in range(self._each):
-                _, connection = await loop.create_connection(ClientConnection, *address)
-                made.append(connection)
-            self._connections.append(made)
+        connections = []
+        for _ in range(self._connections_per_router):
+            _, connection = await loop.create_connection(ClientConnection, *router)
+            connections.append(connection)
+        return connections
 
     async def close(self) -> None:
-        """End all connections."""
-        for connection in self._all():
+        """Cut all connections."""
+        for connection in self._all_connections():
             connection.close()
-        await asyncio.sleep(0.0)
+        await asyncio.sleep(0.0)  # the transports close in the next turn of the loop
 
-    def _all(self) -> list[ClientConnection]:
-        return [connection for made in self._connections for connection in made]
+    def _all_connections(self) -> list[ClientConnection]:
+        return [connection for connections in self._connections for connection in connections]
 
-    async def run(self, seconds: float, rate: float) -> list[ClientFigures]:
-        """Ask each router so often a second, at random moments; how each was served."""
-        await self._connect()
-        end = time.monotonic() + seconds
-        await asyncio.gather(*(self._ask(made, rate, end) for made in self._connections))
-        await self._last_answers()
-        return [_figures(made) for made in self._connections]
+    async def _send_statements(self, connections: list[ClientConnection], rate: float, end: float) -> None:
+        next_connection = cycle(connections)
+        due_at = time.monotonic() + self._rng.expovariate(rate)
+        while due_at < end:
+            await asyncio.sleep(max(0.0, due_at - time.monotonic()))
+            next(next_connection).send_statement(self._rng)
+            due_at += self._rng.expovariate(rate)
 
-    async def _last_answers(self) -> None:
+    async def _wait_for_answers(self) -> None:
         deadline = time.monotonic() + LAST_ANSWERS_S
-        while time.monotonic() < deadline and any(connection.waits for connection in self._all()):
-            await asyncio.sleep(0.05)
-
-    async def _ask(self, made: list[ClientConnection], rate: float, end: float) -> None:
-        due, turns = time.monotonic(), cycle(made)
-        while (due := due + self._rng.expovariate(rate)) < end:
-            await asyncio.sleep(max(0.0, due - time.monotonic()))
-            next(turns).ask(self._rng)
-
-
-def _figures(made: list[ClientConnection]) -> ClientFigures:
-    latencies = sorted(latency for connection in made for latency in connection.latencies)
-    asked = sum(connection.asked for connection in made)
-    refused = sum(connection.refused for connection in made)
-    failed = sum(connection.failed for connection in made)
-    return ClientFigures(
-        asked,
-        len(latencies),
-        refused,
+        while time.monotonic() < deadline and self._is_waiting():
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    def _is_waiting(self) -> bool:
+        return any(connection.is_waiting for connection in self._all_connections())
+
+
+def _totals(connections: list[ClientConnection]) -> ClientTotals:
+    latencies_s = sorted(latency for connection in connections for latency in connection.latencies_s)
+    sent = sum(connection.sent for connection in connections)
+    answered = len(latencies_s)
+    rejected = sum(connection.rejected for connection in connections)
+    failed = sum(connection.failed for connection in connections)
+    return ClientTotals(
+        sent,
+        answered,
+        rejected,
         failed,
-        asked - len(latencies) - refused - failed,
-        1000 * _quantile(latencies, 0.5),
-        1000 * _quantile(latencies, 0.99),
-        1000 * _quantile(latencies, 1.0),
+        unanswered=sent - answered - rejected - failed,
+        p50_ms=MS_PER_SECOND * _quantile(latencies_s, 0.5),
+        p99_ms=MS_PER_SECOND * _quantile(latencies_s, 0.99),
+        max_ms=MS_PER_SECOND * _quantile(latencies_s, 1.0),
     )
 
 
 def _quantile(ordered: list[float], part: float) -> float:
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else LIMIT_MS / 1000
+    if not ordered:
+        return DEADLINE_MS / MS_PER_SECOND
+    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
--- a/grebeproxy/lab/scale/clock.py
+++ b/grebeproxy/lab/scale/clock.py
@@ -1,30 +1,31 @@
-"""A clock of its own for each hollow router: shown time and rate differ from the machine's."""
+"""A clock for each hollow router that differs from the machine's in offset and rate."""
 
 from __future__ import annotations
 
 import time
 from random import Random
 
-MOST_OFFSET_S = 1000.0
-MOST_DRIFT = 0.005  # two clocks run apart by twice this at most, half of what leases allow
+MAX_OFFSET_S = 1000.0
+MAX_DRIFT = 0.005  # relative; two clocks drift apart by twice this, which is half of what leases allow
+MS_PER_SECOND = 1000
 
 
-class SlackClock:
-    """Seconds that begin anywhere and run a little too fast or too slow."""
+class SkewedClock:
+    """Seconds with a random offset that run slightly too fast or too slow."""
 
     def __init__(self, rng: Random) -> None:
-        self._offset = rng.uniform(0.0, MOST_OFFSET_S)
-        self._rate = 1.0 + rng.uniform(-MOST_DRIFT, MOST_DRIFT)
+        self._offset = rng.uniform(0.0, MAX_OFFSET_S)
+        self._rate = 1.0 + rng.uniform(-MAX_DRIFT, MAX_DRIFT)
         self._unix_offset = time.time() - time.monotonic()
 
     def now(self) -> float:
-        """The time that the router takes it to be."""
+        """The router's time."""
         return self._offset + self._rate * time.monotonic()
 
-    def delay(self, at: float) -> float:
-        """Seconds of the machine's clock until this one shows ``at``; below 0 where that has passed."""
-        return (at - self.now()) / self._rate
+    def delay_until(self, router_time: float) -> float:
+        """Seconds of the machine's clock until the router's time is reached; negative once it has passed."""
+        return (router_time - self.now()) / self._rate
 
     def from_unix_ms(self, unix_ms: int) -> float:
-        """A Unix millisecond on this clock."""
-        return self._offset + self._rate * (unix_ms / 1000 - self._unix_offset)
+        """The router's time at a Unix time in milliseconds."""
+        return self._offset + self._rate * (unix_ms / MS_PER_SECOND - self._unix_offset)
--- a/grebeproxy/lab/scale/command.py
+++ b/grebeproxy/lab/scale/command.py
@@ -2,13 +2,16 @@
 
 from __future__ import annotations
 
+import functools
 import shlex
 import signal
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass
 from importlib.util import find_spec
 from pathlib import Path
 from types import FrameType
+from typing import Any
 
 import click
 
@@ -21,9 +24,8 @@
 from grebeproxy.lab.scale.run import Options, Outcome, Progress
 from grebeproxy.lab.scale.table import table
 
-MOST_ROUTERS, MOST_ENGINES = 10_000, 20_000
+MAX_ROUTERS, MAX_ENGINES = 10_000, 20_000
 USAGE_STATUS, FAILED_STATUS, TERMINATED_STATUS = 2, 1, 143
-
 PLOT_SUFFIXES = (".svg", ".png")
 
 Run = Callable[[Options, Progress, Outcome], None]
@@ -32,8 +34,8 @@
 DEFAULT_ENGINES = {"changelog": "80,400,1600,3200", "membership": "1", "fleet": "3200"}
 
 
-class Usage(click.ClickException):
-    """Arguments that cannot be used: one line, status 2."""
+class OneLineUsageError(click.ClickException):
+    """Arguments that cannot be used: one line on standard error, status 2."""
 
     exit_code = USAGE_STATUS
 
@@ -43,28 +45,80 @@
 
 
 class OneLineCommand(click.Command):
-    """A command whose usage errors are one line."""
+    """A command whose usage errors take one line each."""
 
     def parse_args(self, context: click.Context, arguments: list[str]) -> list[str]:
-        """Parse; a usage error loses the lines around it."""
+        """Parse, and reduce a usage error to its message."""
         try:
             return super().parse_args(context, arguments)
         except click.UsageError as error:
-            raise Usage(error.format_message().replace("\n", " ")) from None
-
-
-def numbers(name: str, text: str, most: int) -> tuple[int, ...]:
-    """A list of positive whole numbers. Raises ``Usage``."""
+            raise OneLineUsageError(error.format_message().replace("\n", " ")) from None
+
+
+@dataclass(frozen=True, slots=True)
+class Arguments:
+    """The command line, one field for each argument or option."""
+
+    name: str
+    sizes: str | None
+    engines: str | None
+    seed: int
+    quiet_s: float
+    wait_s: float
+    memory_mb: int
+    duty: bool
+    json_path: Path | None
+    plot_path: Path | None
+
+    def check(self) -> None:
+        """Raise ``OneLineUsageError`` for an unknown run, or a file that could not be written."""
+        if self.name not in RUNS:
+            raise OneLineUsageError(f"{self.name!r} is not one of {', '.join(RUNS)}")
+        for option, path in (("--json", self.json_path), ("--plot", self.plot_path)):
+            if path is not None and not path.parent.is_dir():
+                raise OneLineUsageError(f"{option}: {path.parent} is not a folder")
+        if self.plot_path is not None and self.plot_path.suffix not in PLOT_SUFFIXES:
+            raise OneLineUsageError(
+                f"--plot: {self.plot_path.name} ends in none of {', '.join(PLOT_SUFFIXES)}"
+            )
+        if self.plot_path is not None and find_spec("matplotlib") is None:
+            raise OneLineUsageError("--plot: matplotlib is not installed")
+
+    def options(self) -> Options:
+        """The options of the run. Raises ``OneLineUsageError`` for a malformed list of numbers."""
+        return Options(
+            sizes=_numbers("--sizes", self.sizes or DEFAULT_SIZES[self.name], MAX_ROUTERS),
+            engines=_numbers("--engines", self.engines or DEFAULT_ENGINES[self.name], MAX_ENGINES),
+            seed=self.seed,
+            quiet_s=self.quiet_s,
+            wait_s=self.wait_s,
+            memory_mb=self.memory_mb,
+            duty=self.duty,
+        )
+
+
+def _numbers(option: str, text: str, largest: int) -> tuple[int, ...]:
+    """A list of distinct whole numbers from 1 on, with commas between. Raises ``OneLineUsageError``."""
     parsed = []
     for item in text.split(","):
-        if not item.strip().isdecimal() or not 1 <= int(item) <= most:
-            raise Usage(f"{name}: {item!r} is not a whole number from 1 to {most}")
+        if not item.strip().isdecimal() or not 1 <= int(item) <= largest:
+            raise OneLineUsageError(f"{option}: {item!r} is not a whole number from 1 to {largest}")
         parsed.append(int(item))
     if len(set(parsed)) != len(parsed):
-        raise Usage(f"{name}: a number is given twice")
+        raise OneLineUsageError(f"{option}: a number is given twice")
     return tuple(parsed)
 
 
+def _with_arguments(command: Callable[[Arguments], None]) -> Callable[..., None]:
+    """Pass on what click hands over as keyword arguments, one for each option, as one ``Arguments``."""
+
+    @functools.wraps(command)
+    def call(**parameters: Any) -> None:
+        command(Arguments(**parameters))
+
+    return call
+
+
 @click.command(cls=OneLineCommand)
 @click.argument("name")
 @click.option("--sizes", help="Hollow routers of each point, as 50,200,800,2400.")
@@ -73,76 +127,54 @@
 @click.option("--quiet-s", type=click.FloatRange(0.2, 60.0), default=10.0, show_default=True,
               help="Seconds of each quiet measurement.")  # fmt: skip
 @click.option("--wait-s", type=click.FloatRange(1.0, 170.0), default=90.0, show_default=True,
-              help="Seconds after which something awaited ends the size.")  # fmt: skip
+              help="Seconds after which a state that is not reached ends the size.")  # fmt: skip
 @click.option("--memory-mb", type=click.IntRange(100, 12_000), default=5000, show_default=True,
-              help="Memory of all processes, beyond which a size is not played.")  # fmt: skip
-@click.option("--duty/--no-duty", default=True, show_default=True, help="A lease that all want, or none.")
+              help="Memory of all processes, beyond which a size is not measured.")  # fmt: skip
+@click.option("--duty/--no-duty", default=True, show_default=True,
+              help="One lease that all routers compete for, or none.")  # fmt: skip
 @click.option("--json", "json_path", type=click.Path(dir_okay=False, path_type=Path), help="Save the record.")
 @click.option(
     "--plot",
     "plot_path",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Draw points and fit, as .svg or .png; needs matplotlib.",
+    help="Plot the points with a linear fit, as .svg or .png; needs matplotlib.",
 )
-def scale(
-    name: str,
-    sizes: str | None,
-    engines: str | None,
-    seed: int,
-    quiet_s: float,
-    wait_s: float,
-    memory_mb: int,
-    duty: bool,
-    json_path: Path | None,
-    plot_path: Path | None,
-) -> None:
+@_with_arguments
+def scale(arguments: Arguments) -> None:
     """Run many hollow routers on loopback and measure them. NAME: changelog, membership or fleet."""
-    if name not in RUNS:
-        raise Usage(f"{name!r} is not one of {', '.join(RUNS)}")
-    for option, path in (("--json", json_path), ("--plot", plot_path)):
-        if path is not None and not path.parent.is_dir():
-            raise Usage(f"{option}: {path.parent} is not a folder")
-    if plot_path is not None and plot_path.suffix not in PLOT_SUFFIXES:
-        raise Usage(f"--plot: {plot_path.name} ends in none of {', '.join(PLOT_SUFFIXES)}")
-    if plot_path is not None and find_spec("matplotlib") is None:
-        raise Usage("--plot: matplotlib is not installed")
-    options = Options(
-        sizes=numbers("--sizes", sizes or DEFAULT_SIZES[name], MOST_ROUTERS),
-        engines=numbers("--engines", engines or DEFAULT_ENGINES[name], MOST_ENGINES),
-        seed=seed,
-        quiet_s=quiet_s,
-        wait_s=wait_s,
-        memory_mb=memory_mb,
-        duty=duty,
-    )
+    arguments.check()
+    options = arguments.options()
     signal.signal(signal.SIGTERM, _terminate)
     outcome = Outcome()
     try:
-        RUNS[name](options, Progress(), outcome)
+        RUNS[arguments.name](options, Progress(), outcome)
     except (WorkerError, OSError) as error:
         click.echo(f"scale: {error}", err=True)
         raise SystemExit(FAILED_STATUS) from None
     except BaseException:
-        outcome.notes.append("interrupted")  # what was measured until then is kept
+        outcome.notes.append("interrupted")  # the record keeps what was measured until then
         raise
     finally:
-        _report(name, seed, outcome, json_path)
-        if plot_path is not None and outcome.points:
-            save_plot(outcome.points, f"scale {name}", plot_path)
+        _report(arguments, outcome)
 
 
-def _report(name: str, seed: int, outcome: Outcome, json_path: Path | None) -> None:
-    """Print what was measured, and save it."""
+def _report(arguments: Arguments, outcome: Outcome) -> None:
+    """Print what was measured, and save the record and the plot if requested."""
     if outcome.points:
         click.echo(table(outcome.points))
     for note in outcome.notes:
         click.echo(note)
-    if json_path is not None and outcome.points:
+    if not outcome.points:
+        return
+    if arguments.json_path is not None:
         command = "python -m grebeproxy.lab " + shlex.join(sys.argv[1:])
         points = tuple(outcome.points)
-        record_now(f"scale-{name}", command, seed, points, "; ".join(outcome.notes)).save(json_path)
+        note = "; ".join(outcome.notes)
+        record_now(f"scale-{arguments.name}", command, arguments.seed, points, note).save(arguments.json_path)
+    if arguments.plot_path is not None:
+        save_plot(outcome.points, f"scale {arguments.name}", arguments.plot_path)
 
 
 def _terminate(number: int, frame: FrameType | None) -> None:
-    """SIGTERM ends the run as an exception does, so that its processes are ended."""
+    """End on SIGTERM by an exception, so that the child processes are ended as well."""
     raise SystemExit(TERMINATED_STATUS)
--- a/grebeproxy/lab/scale/deployment.py
+++ b/grebeproxy/lab/scale/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that a run plays: zones, kinds of engines, settings of each router, and the engines."""
+"""The deployment that a run simulates: zones, kinds of engines, router settings, engine records."""
 
 from __future__ import annotations
 
@@ -7,20 +7,21 @@
 from dataclasses import dataclass
 from typing import Any
 
+from grebeproxy.lab.scale.addresses import Address
 from grebeproxy.net import changelog
 from grebeproxy.policy.interface import Settings
 from grebeproxy.settings import settings_from
 
-Address = tuple[str, int]
+SettingsDocument = dict[str, Any]  # the ``settings`` object of a router's configuration file
 
 ZONES = tuple(f"zone-{number}" for number in range(1, 7))
 KINDS = ("typ-a", "typ-b")
-CLASSES = ("lookup", "report", "load")
 TENANT = "city"
-UP, DRAINING, GONE = range(3)  # the states of a record on the wire
-WEIGHT = 1000  # a weight of 1 on the wire
+UP, DRAINING = range(2)  # states of an engine record on the wire
+FULL_WEIGHT = 1000  # a weight of 1 on the wire
+SAME_CELL, START_UNKNOWN = 0, 0  # in an engine record on the wire
 
-_SETTINGS: dict[str, Any] = {
+_SETTINGS: SettingsDocument = {
     "balancers": 1,
     "categories": [
         {
@@ -114,38 +115,32 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineRecord:
-    """One engine as the change log tells of it."""
+    """One engine, as the change log lists it."""
 
     number: int
     address: Address
     state: int = UP
 
     def pack(self) -> bytes:
-        """The record's bytes."""
-        host = int.from_bytes(socket.inet_aton(self.address[0]), "big")
-        zone, kind = self.number % len(ZONES), self.number // len(ZONES) % len(KINDS)
-        return changelog.RECORD.pack(self.number, host, self.address[1], self.state, zone, kind, 0, WEIGHT, 0)
+        """The record on the wire; zones and kinds alternate by the engine's number."""
+        host, port = self.address
+        host_number = int.from_bytes(socket.inet_aton(host), "big")
+        zone = self.number % len(ZONES)
+        kind = self.number // len(ZONES) % len(KINDS)
+        return changelog.RECORD.pack(
+            self.number, host_number, port, self.state, zone, kind, SAME_CELL, FULL_WEIGHT, START_UNKNOWN
+        )
 
 
-def settings_json(routers: int, index: int) -> dict[str, Any]:
-    """The settings of one router of so many, as its configuration file holds them."""
-    fields = copy.deepcopy(_SETTINGS)
-    fields["balancers"], fields["me"], fields["zone"] = routers, index, ZONES[index % len(ZONES)]
-    return fields
+def settings_document(routers: int, index: int) -> SettingsDocument:
+    """The settings of router ``index`` of that many, as its configuration file holds them."""
+    document = copy.deepcopy(_SETTINGS)
+    document["balancers"] = routers
+    document["me"] = index
+    document["zone"] = ZONES[index % len(ZONES)]
+    return document
 
 
 def settings(routers: int, index: int) -> Settings:
-    """The same as the decision module takes them."""
-    return settings_from(settings_json(routers, index))
-
-
-def engine_addresses(count: int) -> list[Address]:
-    """Made-up addresses for engines that nobody connects to."""
-    return [
-        (f"127.{40 + number // 62500}.{number // 250 % 250}.{number % 250 + 1}", 9) for number in range(count)
-    ]
-
-
-def loopback_host(group: int, index: int) -> str:
-    """An address of 127.0.0.0/8; a group of sockets has 62,500 of its own."""
-    return f"127.{group}.{index // 250 % 250}.{index % 250 + 1}"
+    """The same settings as the decision module takes them."""
+    return settings_from(settings_document(routers, index))
--- a/grebeproxy/lab/scale/duty_target.py
+++ b/grebeproxy/lab/scale/duty_target.py
@@ -1,59 +1,63 @@
-"""Where the routers' duty takes effect: a stand-in that refuses what comes under a token below one it saw."""
+"""The service that the routers' duty acts on: it rejects a fencing token below one that it has seen."""
 
 from __future__ import annotations
 
 import asyncio
+from contextlib import closing
 from dataclasses import dataclass
 
-from grebeproxy.lab.scale.deployment import Address
+from grebeproxy.lab.scale.addresses import LOOPBACK_HOST, Address
 from grebeproxy.membership.lease import Fence, Token
 
 
 @dataclass(frozen=True, slots=True)
-class DutyFigures:
-    """What took effect until now, who did it, and what was refused."""
+class DutyTotals:
+    """Reports until now, and the lease holders in the order of their first accepted report."""
 
-    done: int
-    refused: int
-    holders: tuple[str, ...]  # in the order in which each came first
+    accepted: int
+    rejected: int
+    lease_holders: tuple[str, ...]
 
 
 class DutyTarget:
-    """The service: one line for each act, ``do DUTY BALLOT HOLDER``."""
+    """The service of one process. Each report is a line ``do DUTY BALLOT HOLDER`` on its own connection."""
 
     def __init__(self) -> None:
         self._fence = Fence()
-        self._done = self._refused = 0
-        self._holders: list[str] = []
+        self._accepted = 0
+        self._rejected = 0
+        self._lease_holders: list[str] = []
         self._server: asyncio.Server | None = None
 
     async def listen(self) -> Address:
-        """Begin to serve; where."""
-        self._server = await asyncio.start_server(self._take, "127.0.0.1", 0)
+        """Begin to serve; returns the address."""
+        self._server = await asyncio.start_server(self._serve, LOOPBACK_HOST, 0)
         host, port = self._server.sockets[0].getsockname()
         return host, port
 
     async def close(self) -> None:
-        """Take no more."""
+        """Accept no more connections."""
         if self._server is not None:
             self._server.close()
 
-    def figures(self) -> DutyFigures:
-        """What took effect until now."""
-        return DutyFigures(self._done, self._refused, tuple(self._holders))
+    def totals(self) -> DutyTotals:
+        """What was reported until now."""
+        return DutyTotals(self._accepted, self._rejected, tuple(self._lease_holders))
 
-    async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        match (await reader.readline()).decode(errors="replace").split():
-            case ["do", duty, ballot, holder] if ballot.isdecimal():
-                writer.write(self._answer(duty, (int(ballot), holder)))
-        writer.close()
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        with closing(writer):
+            line = await reader.readline()
+            match line.decode(errors="replace").split():
+                case ["do", duty, ballot, lease_holder] if ballot.isdecimal():
+                    writer.write(self._answer(duty, (int(ballot), lease_holder)))
 
     def _answer(self, duty: str, token: Token) -> bytes:
         if not self._fence.admit(duty, token):
-            self._refused += 1
+            self._rejected += 1
             highest = self._fence.highest(duty)
             return f"NAK {highest[0]} {highest[1]}\n".encode()
-        self._done += 1
-        if token[1] not in self._holders:
-            self._holders.append(token[1])
+        self._accepted += 1
+        lease_holder = token[1]
+        if lease_holder not in self._lease_holders:
+            self._lease_holders.append(lease_holder)
         return b"ACK\n"
--- a/grebeproxy/lab/scale/fleet_run.py
+++ b/grebeproxy/lab/scale/fleet_run.py
@@ -7,34 +7,39 @@
 import time
 from dataclasses import dataclass
 
-from grebeproxy.lab.record import Point
-from grebeproxy.lab.scale.changelog_server import ChangeLog, Published
-from grebeproxy.lab.scale.clients import ClientFigures, Clients
-from grebeproxy.lab.scale.deployment import DRAINING, Address, EngineRecord
+from grebeproxy.lab.record import MEBIBYTE, Point
+from grebeproxy.lab.scale.addresses import Address, free_address
+from grebeproxy.lab.scale.changelog_run import seconds_until_applied
+from grebeproxy.lab.scale.changelog_server import ChangeLog, PublishedEvent
+from grebeproxy.lab.scale.clients import Clients, ClientTotals
+from grebeproxy.lab.scale.deployment import DRAINING, EngineRecord
 from grebeproxy.lab.scale.duty_target import DutyTarget
-from grebeproxy.lab.scale.hollow_engines import EngineFigures, HollowEngines
-from grebeproxy.lab.scale.hollow_routers import MembershipPlan
-from grebeproxy.lab.scale.membership_run import CALM_PERIODS, STARTS_A_SECOND
+from grebeproxy.lab.scale.fleet import Fleet
+from grebeproxy.lab.scale.hollow_engines import EngineTotals, HollowEngines
+from grebeproxy.lab.scale.membership_run import SETTLING_PERIODS, STARTS_PER_SECOND
+from grebeproxy.lab.scale.plans import MembershipPlan
 from grebeproxy.lab.scale.processes import Worker, Workers, call_all
-from grebeproxy.lab.scale.real_routers import RealFigures, RealRouter, RealRouters
-from grebeproxy.lab.scale.run import Fleet, Options, Outcome, Progress, SizeNotReachedError, used_between
+from grebeproxy.lab.scale.real_routers import LoggedView, RealRouterPlan, RealRouters, RealRouterTotals
+from grebeproxy.lab.scale.run import Options, Outcome, Progress, SizeNotReachedError
+from grebeproxy.lab.scale.usage import Usage, used_between
 
 REAL_ROUTERS = 3
 ENGINE_PROCESSES = 2
-CLIENTS_EACH = 5  # connections to each real router, which closes those that are silent for 2 s
+CONNECTIONS_PER_ROUTER = 5  # of clients; a real router closes those that are idle for 2 s
 RATE = 10.0  # statements a second to each real router
-WARM_S = 3.0  # of statements that are not counted, while connections to engines are made
-HOST = "127.0.0.1"
-WORSE_FACTOR, WORSE_MS = 1.5, 5.0  # by which the clients' p99 may grow before a note says so
+WARM_UP_S = 3.0  # of statements that are not counted, while connections to engines are made
+US_PER_SECOND = 1e6
+# By how much the clients' 99th percentile may grow beside the hollow routers before a note says so.
+MAX_P99_FACTOR, MAX_P99_INCREASE_MS = 1.5, 5.0
 
 
 @dataclass(frozen=True, slots=True)
-class Stage:
-    """What stands before the hollow routers come."""
+class Testbed:
+    """The processes and addresses of a run, apart from the hollow routers."""
 
     log: Worker
     engines: list[Worker]
-    real: Worker
+    real_routers: Worker
     clients: Worker
     real_members: list[Address]
     changelog: Address
@@ -42,138 +47,131 @@
 
 
 def run_fleet(options: Options, progress: Progress, outcome: Outcome) -> None:
-    """Each size with the most engines; the first that this machine does not carry ends the run."""
+    """Measure each size with the most engines; the first that this machine cannot run ends the run."""
     for size in sorted(options.sizes):
         try:
             point = measure_fleet(size, max(options.engines), options, progress)
-        except SizeNotReachedError as ended:
-            outcome.notes.append(f"{size} routers: ended by {ended}")
-            progress.line(outcome.notes[-1])
+        except SizeNotReachedError as reason:
+            outcome.add_note(f"{size} routers: ended by {reason}", progress)
             break
         outcome.points.append(point)
-        if worse(point):
-            outcome.notes.append(f"{size} routers: clients of the real routers were served worse beside them")
-            progress.line(outcome.notes[-1])
+        if clients_were_affected(point):
+            outcome.add_note(
+                f"{size} routers: clients of the real routers were served worse beside them", progress
+            )
 
 
-def worse(point: Point) -> bool:
-    """Whether clients lost answers, or waited longer, beside the hollow routers."""
+def clients_were_affected(point: Point) -> bool:
+    """Whether more answers were lost, or latency grew beyond the bound, beside the hollow routers."""
     values = point.values
-    lost = values["beside_lost"] > values["alone_lost"]
-    return lost or values["beside_p99_ms"] > WORSE_FACTOR * values["alone_p99_ms"] + WORSE_MS
+    more_lost = values["beside_lost"] > values["alone_lost"]
+    max_p99_ms = MAX_P99_FACTOR * values["alone_p99_ms"] + MAX_P99_INCREASE_MS
+    return more_lost or values["beside_p99_ms"] > max_p99_ms
 
 
 def measure_fleet(size: int, engines: int, options: Options, progress: Progress) -> Point:
-    """One point: the real routers' clients alone, then beside the hollow routers; then a list's change."""
+    """Measure one point: clients of the real routers alone, then beside the hollow routers, then a change."""
     progress.line(f"fleet: {size} hollow and {REAL_ROUTERS} real routers, {engines} engines")
     with Workers() as workers:
-        stage = _stage(workers, size, engines, options)
-        stage.clients.call("run", min(WARM_S, options.quiet_s), RATE)
-        values = _served("alone", stage, options)
+        testbed = _start_testbed(workers, size, engines, options)
+        testbed.clients.call("run", min(WARM_UP_S, options.quiet_s), RATE)
+        values = _serve_clients("alone", testbed, options)
         progress.line(f"  alone: p50 {values['alone_p50_ms']:.1f} ms, p99 {values['alone_p99_ms']:.1f} ms")
         fleet = Fleet(workers, options)
-        values |= _hollow_join(fleet, stage, size, options)
-        progress.line(f"  hollow routers are there after {values['join_s']:.1f} s")
+        values["join_s"] = _join_hollow_routers(fleet, testbed, size, options)
+        progress.line(f"  hollow routers have joined after {values['join_s']:.1f} s")
         before = fleet.snapshots()
-        values |= _served("beside", stage, options)
+        values |= _serve_clients("beside", testbed, options)
         usage = used_between(before, fleet.snapshots())
         progress.line(f"  beside: p50 {values['beside_p50_ms']:.1f} ms, p99 {values['beside_p99_ms']:.1f} ms")
-        values |= {
-            "hollow_cpu_us_per_s": 1e6 * usage.total.cpu_s / size / usage.seconds,
-            "hollow_bytes_per_s": usage.total.bytes_sent / size / usage.seconds,
-            "hollow_lateness_ms": usage.lateness_ms,
-            "hollow_cores": usage.process_cpu_s / usage.seconds,
-            "hollow_memory_kb": (fleet.resident_bytes() - fleet.empty_bytes) / size / 1024,
-            "change_last_s": _change(fleet, stage, size),
-        }
-        figures: list[EngineFigures] = call_all(stage.engines, "figures")
-        values["engine_connections"] = float(sum(each.connections for each in figures))
-        values["engines_asked"] = float(sum(each.engines_asked for each in figures))
-    return Point(
-        {"routers": float(size), "engines": float(engines), "real_routers": float(REAL_ROUTERS)}, values
-    )
-
-
-def _stage(workers: Workers, size: int, engines: int, options: Options) -> Stage:
-    listens = [_free_address(socket.SOCK_STREAM) for _ in range(REAL_ROUTERS)]
-    each = [engines // ENGINE_PROCESSES, engines - engines // ENGINE_PROCESSES]
-    starts = [1, 1 + each[0]]
-    served = [workers.start(HollowEngines, first, count) for first, count in zip(starts, each, strict=True)]
-    log, real, duty = workers.start(ChangeLog), workers.start(RealRouters), workers.start(DutyTarget)
-    clients = workers.start(Clients, listens, CLIENTS_EACH, options.seed)
-    addresses = [address for part in call_all(served, "listen") for address in part]
-    changelog = log.call("listen", [EngineRecord(number, at) for number, at in enumerate(addresses, 1)])
-    report = duty.call("listen") if options.duty else None
-    membership = MembershipPlan(size + REAL_ROUTERS, options.period_s, duty_report=report)
-    members = [_free_address(socket.SOCK_DGRAM) for _ in range(REAL_ROUTERS)]
-    routers = [
-        RealRouter(
-            f"real-{number}",
-            size + number,
-            size + REAL_ROUTERS,
-            listens[number],
-            changelog,
-            members[number],
-            members[number],
-            tuple(members),
-            membership,
+        values |= _hollow_usage(usage, size)
+        values["hollow_memory_kb"] = fleet.memory_kb_per_router(size)
+        event: PublishedEvent = testbed.log.call("set_state", [1], DRAINING)
+        values["change_last_s"] = seconds_until_applied(fleet, event, size)
+        totals: list[EngineTotals] = call_all(testbed.engines, "totals")
+        values["engine_connections"] = float(sum(each.connections for each in totals))
+        values["engines_asked"] = float(sum(each.engines_used for each in totals))
+    sizes = {"routers": float(size), "engines": float(engines), "real_routers": float(REAL_ROUTERS)}
+    return Point(sizes, values)
+
+
+def _start_testbed(workers: Workers, size: int, engines: int, options: Options) -> Testbed:
+    listen = [free_address(socket.SOCK_STREAM) for _ in range(REAL_ROUTERS)]
+    first_half = engines // ENGINE_PROCESSES
+    engine_workers = [
+        workers.start(HollowEngines, 1, first_half),
+        workers.start(HollowEngines, 1 + first_half, engines - first_half),
+    ]
+    log = workers.start(ChangeLog)
+    real_routers = workers.start(RealRouters)
+    duty = workers.start(DutyTarget)
+    clients = workers.start(Clients, listen, CONNECTIONS_PER_ROUTER, options.seed)
+    engine_addresses = [address for part in call_all(engine_workers, "listen") for address in part]
+    records = [EngineRecord(number, address) for number, address in enumerate(engine_addresses, 1)]
+    changelog: Address = log.call("listen", records)
+    duty_report = duty.call("listen") if options.duty else None
+    membership = MembershipPlan(size + REAL_ROUTERS, options.period_s, duty_report=duty_report)
+    members = [free_address(socket.SOCK_DGRAM) for _ in range(REAL_ROUTERS)]
+    plans = [
+        RealRouterPlan(
+            name=f"real-{number}",
+            index=size + number,
+            total=size + REAL_ROUTERS,
+            listen=listen[number],
+            changelog=changelog,
+            member=members[number],
+            advertise=members[number],
+            seeds=tuple(members),
+            membership=membership,
         )
         for number in range(REAL_ROUTERS)
     ]
-    real.call("start", routers)
-    return Stage(log, served, real, clients, members, changelog, membership)
+    real_routers.call("start", plans)
+    return Testbed(log, engine_workers, real_routers, clients, members, changelog, membership)
 
 
-def _hollow_join(fleet: Fleet, stage: Stage, size: int, options: Options) -> dict[str, float]:
-    addresses = fleet.prepare(size, size + REAL_ROUTERS, stage.changelog, stage.membership)
-    fleet.configure(addresses, stage.real_members)
-    began = time.monotonic()
-    fleet.start(size / STARTS_A_SECOND)
+def _join_hollow_routers(fleet: Fleet, testbed: Testbed, size: int, options: Options) -> float:
+    """Start the hollow routers; returns the seconds until each of them knows all members."""
     total = size + REAL_ROUTERS
-    fleet.wait(lambda: _all_see(fleet, size, total), "that all know all")
+    addresses = fleet.prepare(size, total, testbed.changelog, testbed.membership)
+    fleet.assign_seeds(addresses, testbed.real_members)
+    began = time.monotonic()
+    fleet.start(size / STARTS_PER_SECOND)
+    fleet.wait_until(lambda: fleet.knows_all_members(size, total), "that all know all")
     joined_s = time.monotonic() - began
-    time.sleep(CALM_PERIODS * options.period_s)
-    views: dict[str, tuple[str, int, str]] = stage.real.call("views")
-    if any(count != total for _, count, _ in views.values()):
-        raise SizeNotReachedError(
-            f"membership: real routers see {[view[1] for view in views.values()]} members"
-        )
-    return {"join_s": joined_s}
-
-
-def _all_see(fleet: Fleet, size: int, total: int) -> bool:
-    counts = fleet.gather("member_counts")
-    return len(counts) == size and all(count == total for count in counts)
-
-
-def _served(name: str, stage: Stage, options: Options) -> dict[str, float]:
-    """How the real routers' clients are served in a quiet time, and what the routers use for it."""
-    before: list[RealFigures] = stage.real.call("figures")
-    clients: list[ClientFigures] = stage.clients.call("run", options.quiet_s, RATE)
-    after: list[RealFigures] = stage.real.call("figures")
-    seconds = after[0].at - before[0].at
-    if not all(figures.alive for figures in after):
+    time.sleep(SETTLING_PERIODS * options.period_s)
+    views: dict[str, LoggedView] = testbed.real_routers.call("views")
+    counts = [view.count for view in views.values()]
+    if any(count != total for count in counts):
+        raise SizeNotReachedError(f"membership: real routers see {counts} members")
+    return joined_s
+
+
+def _serve_clients(name: str, testbed: Testbed, options: Options) -> dict[str, float]:
+    """Serve the clients of the real routers for a while: their totals, and what the real routers used."""
+    before: list[RealRouterTotals] = testbed.real_routers.call("totals")
+    clients: list[ClientTotals] = testbed.clients.call("run", options.quiet_s, RATE)
+    after: list[RealRouterTotals] = testbed.real_routers.call("totals")
+    if not all(router.is_running for router in after):
         raise SizeNotReachedError("a real router has ended")
-    cpu_s = sum(late.cpu_s - early.cpu_s for early, late in zip(before, after, strict=True))
+    seconds = after[0].taken_at - before[0].taken_at
+    cpu_s = sum(later.cpu_s - earlier.cpu_s for earlier, later in zip(before, after, strict=True))
     return {
-        f"{name}_asked": float(sum(each.asked for each in clients)),
-        f"{name}_lost": float(sum(each.refused + each.failed + each.unanswered for each in clients)),
+        f"{name}_asked": float(sum(each.sent for each in clients)),
+        f"{name}_lost": float(sum(each.rejected + each.failed + each.unanswered for each in clients)),
         f"{name}_p50_ms": max(each.p50_ms for each in clients),
         f"{name}_p99_ms": max(each.p99_ms for each in clients),
-        f"{name}_most_ms": max(each.most_ms for each in clients),
-        f"{name}_real_cpu_us_per_s": 1e6 * cpu_s / REAL_ROUTERS / seconds,
-        f"{name}_real_memory_mb": max(figures.resident_bytes for figures in after) / 2**20,
+        f"{name}_most_ms": max(each.max_ms for each in clients),
+        f"{name}_real_cpu_us_per_s": US_PER_SECOND * cpu_s / REAL_ROUTERS / seconds,
+        f"{name}_real_memory_mb": max(router.resident_bytes for router in after) / MEBIBYTE,
         f"{name}_load_average": os.getloadavg()[0],
     }
 
 
-def _change(fleet: Fleet, stage: Stage, size: int) -> float:
-    published: Published = stage.log.call("set_state", [1], DRAINING)
-    fleet.wait(lambda: len(fleet.gather("applied", published.seq)) == size, "the change")
-    return max(float(str(at)) for at in fleet.gather("applied", published.seq)) - published.began
-
-
-def _free_address(kind: socket.SocketKind) -> Address:
-    with socket.socket(socket.AF_INET, kind) as taken:
-        taken.bind((HOST, 0))
-        return HOST, int(taken.getsockname()[1])
+def _hollow_usage(usage: Usage, size: int) -> dict[str, float]:
+    return {
+        "hollow_cpu_us_per_s": US_PER_SECOND * usage.total.cpu_s / size / usage.seconds,
+        "hollow_bytes_per_s": usage.total.bytes_sent / size / usage.seconds,
+        "hollow_lateness_ms": usage.lateness_ms,
+        "hollow_cores": usage.process_cpu_s / usage.seconds,
+    }
--- a/grebeproxy/lab/scale/meter.py
+++ b/grebeproxy/lab/scale/meter.py
@@ -1,4 +1,4 @@
-"""What one hollow router costs: CPU of its steps, packets and bytes, and how late its timers are."""
+"""What one hollow router uses: CPU time, packets and bytes, and how late its timers fire."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 from typing import Self
 
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+USER_TICKS_FIELD, SYSTEM_TICKS_FIELD = 11, 12  # of /proc/<pid>/stat, after the command name
 
 
 @dataclass(slots=True)
 class Counters:
-    """Totals since the start. CPU in seconds of thread time, bytes without the headers of UDP and TCP."""
+    """Totals since the start. CPU is thread time in seconds; bytes are without UDP and TCP headers."""
 
     cpu_s: float = 0.0
     packets_sent: int = 0
@@ -21,10 +22,10 @@
     packets_received: int = 0
     bytes_received: int = 0
     timers: int = 0
-    lateness_s: float = 0.0  # of all timers together
+    lateness_s: float = 0.0  # sum over all timers
 
     def __add__(self, other: Counters) -> Counters:
-        """Both together."""
+        """The sum of both."""
         return Counters(
             self.cpu_s + other.cpu_s,
             self.packets_sent + other.packets_sent,
@@ -36,7 +37,7 @@
         )
 
     def __sub__(self, earlier: Counters) -> Counters:
-        """What was counted since the earlier totals."""
+        """The difference to earlier totals."""
         return Counters(
             self.cpu_s - earlier.cpu_s,
             self.packets_sent - earlier.packets_sent,
@@ -49,7 +50,7 @@
 
 
 class Meter:
-    """Counts for one router. ``with meter:`` around a step adds its thread time; not to be nested."""
+    """Counts for one router. ``with meter:`` around a step adds its thread time; it cannot be nested."""
 
     __slots__ = ("_began", "counters")
 
@@ -58,32 +59,32 @@
         self._began = 0.0
 
     def __enter__(self) -> Self:
-        """A step begins."""
+        """Begin a step."""
         self._began = time.thread_time()
         return self
 
     def __exit__(self, *exception: object) -> None:
-        """It has ended."""
+        """Add the step's thread time."""
         self.counters.cpu_s += time.thread_time() - self._began
 
     def sent(self, size: int) -> None:
-        """A packet or a write of that many bytes left."""
+        """Count a packet or a write of that many bytes."""
         self.counters.packets_sent += 1
         self.counters.bytes_sent += size
 
     def received(self, size: int) -> None:
-        """A packet or a read of that many bytes came."""
+        """Count a packet or a read of that many bytes."""
         self.counters.packets_received += 1
         self.counters.bytes_received += size
 
-    def woken(self, late_s: float) -> None:
-        """A timer ran that many seconds after its time."""
+    def timer_fired(self, late_s: float) -> None:
+        """Count a timer that fired that many seconds late; a negative delay counts as 0."""
         self.counters.timers += 1
         self.counters.lateness_s += max(0.0, late_s)
 
 
 def resident_bytes(pid: int) -> int:
-    """The resident memory of a process, 0 where it is gone."""
+    """The resident memory of a process; 0 if it has ended."""
     try:
         return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES
     except (OSError, IndexError):
@@ -91,9 +92,10 @@
 
 
 def process_cpu_s(pid: int) -> float:
-    """The CPU that another process has used, in seconds; 0 where it is gone."""
+    """The CPU time that a process has used, in seconds; 0 if it has ended."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     except OSError:
         return 0.0
-    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
+    ticks = int(fields[USER_TICKS_FIELD]) + int(fields[SYSTEM_TICKS_FIELD])
+    return ticks / os.sysconf("SC_CLK_TCK")
--- a/grebeproxy/lab/scale/processes.py
+++ b/grebeproxy/lab/scale/processes.py
@@ -1,7 +1,7 @@
-"""Child processes that each run one service and answer calls, and that end with their parent.
+"""Child processes that each run one service and answer the parent's calls.
 
-A service is a class; its methods, plain or ``async``, are what the parent may call. A child ends when its
-connection to the parent does, so it also ends where the parent was killed.
+A service is a class with an ``async`` method ``close``; the parent may call all its methods, plain or
+``async``, by name. A child ends when its connection to the parent does, so also when the parent is killed.
 """
 
 from __future__ import annotations
@@ -18,6 +18,7 @@
 
 import uvloop
 
+from grebeproxy.errors import GrebeproxyError
 from grebeproxy.lab.scale.meter import resident_bytes
 
 GC_THRESHOLDS = (20_000, 20, 50)  # as in the product
@@ -25,8 +26,8 @@
 END_TIMEOUT_S = 10.0
 
 
-class WorkerError(Exception):
-    """A call that failed in the child, or a child that is gone or does not answer."""
+class WorkerError(GrebeproxyError):
+    """A call failed in the child, or the child has ended or does not answer."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What the method returned, or why it failed."""
+    """What the method returned, or the reason why it failed."""
 
     result: Any = None
     failure: str | None = None
@@ -50,11 +51,11 @@
 
     def __init__(self, service: type, *arguments: Any) -> None:
         context = multiprocessing.get_context("spawn")
-        self._connection, theirs = context.Pipe()
+        self._connection, child_connection = context.Pipe()
         self._name = service.__name__
-        self._process = context.Process(target=_run, args=(theirs, service, arguments), daemon=True)
+        self._process = context.Process(target=_run, args=(child_connection, service, arguments), daemon=True)
         self._process.start()
-        theirs.close()
+        child_connection.close()
 
     @property
     def pid(self) -> int:
@@ -62,14 +63,14 @@
         return self._process.pid or 0
 
     def send(self, method: str, *arguments: Any) -> None:
-        """Begin a call; ``receive`` gives its result."""
+        """Begin a call; ``receive`` returns its result. Raises ``WorkerError``."""
         try:
             self._connection.send(Request(method, arguments))
         except OSError as error:
             raise WorkerError(f"{self._name}: {error}") from None
 
     def receive(self, timeout_s: float = CALL_TIMEOUT_S) -> Any:
-        """The result of the call that was begun. Raises ``WorkerError``."""
+        """Wait for the result of the call that was begun. Raises ``WorkerError``."""
         try:
             if not self._connection.poll(timeout_s):
                 raise WorkerError(f"{self._name}: no answer within {timeout_s:g} s")
@@ -81,16 +82,16 @@
         return reply.result
 
     def call(self, method: str, *arguments: Any, timeout_s: float = CALL_TIMEOUT_S) -> Any:
-        """Call a method and wait for its result."""
+        """Call a method and wait for its result. Raises ``WorkerError``."""
         self.send(method, *arguments)
         return self.receive(timeout_s)
 
     def disconnect(self) -> None:
-        """Let the child end by itself."""
+        """Close the connection, whereupon the child ends."""
         self._connection.close()
 
     def end(self) -> None:
-        """Wait for the child's end, and force it where it does not come."""
+        """Wait until the child has ended, and kill it if that takes too long."""
         self._process.join(END_TIMEOUT_S)
         if self._process.is_alive():
             self._process.kill()
@@ -99,13 +100,13 @@
 
 
 class Workers:
-    """The children of one run; leaving the ``with`` block ends them all."""
+    """The children of one run, as a context manager that ends them all."""
 
     def __init__(self) -> None:
         self._workers: list[Worker] = []
 
     def __enter__(self) -> Self:
-        """Nothing runs yet."""
+        """Begin without children."""
         return self
 
     def __exit__(
@@ -114,7 +115,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """End all children, also where the run failed or was interrupted."""
+        """End all children, also if the run failed or was interrupted."""
         workers, self._workers = self._workers, []
         for worker in workers:
             worker.disconnect()
@@ -128,20 +129,21 @@
         return worker
 
     def resident_bytes(self) -> int:
-        """Memory of all children together."""
+        """Resident memory of all children together."""
         return sum(resident_bytes(worker.pid) for worker in self._workers)
 
 
 def call_all(workers: list[Worker], method: str, *arguments: Any) -> list[Any]:
-    """Call a method of many children at once; their results in order."""
+    """Call a method of many children at the same time; returns their results in order."""
     for worker in workers:
         worker.send(method, *arguments)
     return [worker.receive() for worker in workers]
 
 
 def _run(connection: Connection, service: type, arguments: tuple[Any, ...]) -> None:
-    """The child: answer calls until the parent is gone."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # a terminal sends it to all; the parent ends its children
+    """Answer calls until the parent closes the connection or ends; runs in the child."""
+    # A terminal sends SIGINT to all processes in the foreground; here the parent ends its children.
+    signal.signal(signal.SIGINT, signal.SIG_IGN)
     gc.set_threshold(*GC_THRESHOLDS)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(_answer_calls(connection, service, arguments))
@@ -151,7 +153,7 @@
     instance: Any = service(*arguments)
     try:
         while True:
-            await _readable(connection)
+            await _wait_until_readable(connection)
             request: Request = connection.recv()
             connection.send(await _answer(instance, request))
     except (EOFError, OSError):
@@ -160,7 +162,7 @@
         await instance.close()
 
 
-async def _readable(connection: Connection) -> None:
+async def _wait_until_readable(connection: Connection) -> None:
     loop = asyncio.get_running_loop()
     readable = asyncio.Event()
     loop.add_reader(connection.fileno(), readable.set)
@@ -175,6 +177,6 @@
         result = getattr(instance, request.method)(*request.arguments)
         if inspect.isawaitable(result):
             result = await result
-    except Exception as error:  # told to the parent, which ends the run
+    except Exception as error:  # a process edge: reported to the parent, which ends the run
         return Reply(failure=f"{request.method}: {type(error).__name__}: {error}")
     return Reply(result)
--- a/grebeproxy/lab/scale/table.py
+++ b/grebeproxy/lab/scale/table.py
@@ -1,4 +1,4 @@
-"""Measured points as a table on the terminal."""
+"""Measured points as a text table for the terminal."""
 
 from __future__ import annotations
 
@@ -6,13 +6,15 @@
 
 from grebeproxy.lab.record import Point
 
+MAX_WHOLE_NUMBER = 1e15  # larger values are shown with four significant digits, as fractions are
+
 
 def table(points: Sequence[Point]) -> str:
-    """One row for each value, one column for each point; at least one point is needed."""
+    """One row for each value and one column for each point. At least one point is required."""
     size_names = list(points[0].sizes)
     value_names = list(dict.fromkeys(name for point in points for name in point.values))
-    rows = [[name, *(_shown(point.sizes.get(name)) for point in points)] for name in size_names]
-    rows += [[name, *(_shown(point.values.get(name)) for point in points)] for name in value_names]
+    rows = [[name, *(_cell(point.sizes.get(name)) for point in points)] for name in size_names]
+    rows += [[name, *(_cell(point.values.get(name)) for point in points)] for name in value_names]
     widths = [max(len(row[column]) for row in rows) for column in range(len(points) + 1)]
     lines = ["  ".join(_aligned(row, widths)) for row in rows]
     lines.insert(len(size_names), "-" * len(lines[0]))
@@ -20,13 +22,12 @@
 
 
 def _aligned(row: list[str], widths: list[int]) -> list[str]:
-    return [
-        row[0].ljust(widths[0]),
-        *(cell.rjust(width) for cell, width in zip(row[1:], widths[1:], strict=True)),
-    ]
+    numbers = zip(row[1:], widths[1:], strict=True)
+    return [row[0].ljust(widths[0]), *(cell.rjust(width) for cell, width in numbers)]
 
 
-def _shown(value: float | None) -> str:
+def _cell(value: float | None) -> str:
     if value is None:
         return "-"
-    return f"{value:.0f}" if value == int(value) and abs(value) < 1e15 else f"{value:.4g}"
+    is_whole = value == int(value) and abs(value) < MAX_WHOLE_NUMBER
+    return f"{value:.0f}" if is_whole else f"{value:.4g}"
--- a/grebeproxy/lab/scale/watcher.py
+++ b/grebeproxy/lab/scale/watcher.py
@@ -1,4 +1,4 @@
-"""The part of a hollow router that follows the change log: the product's codec, follower and decisions."""
+"""The change log part of a hollow router: the product's codec, follower and decision module."""
 
 from __future__ import annotations
 
@@ -7,136 +7,144 @@
 from collections.abc import Callable
 from typing import cast
 
-from grebeproxy.lab.scale.clock import SlackClock
+from grebeproxy.lab.scale.addresses import Address
+from grebeproxy.lab.scale.clock import SkewedClock
 from grebeproxy.lab.scale.meter import Meter
 from grebeproxy.net import changelog, follower
 from grebeproxy.net.messages import BadFrameError
 from grebeproxy.policy import Choice
 from grebeproxy.policy.interface import EngineList, Settings
 
-Address = tuple[str, int]
+TIMER_TOLERANCE_S = 1e-6
 
 
 class LogConnection(asyncio.Protocol):
     """One connection to the change log."""
 
-    def __init__(self, watcher: Watcher, seq: int, dial: int) -> None:
-        self._watcher, self._seq, self.dial = watcher, seq, dial
+    def __init__(self, watcher: Watcher, seq: int) -> None:
+        self._watcher = watcher
+        self._seq = seq
         self.decoder = changelog.Decoder(watcher.settings, watcher.clock.from_unix_ms)
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ask for what came after the last event."""
+        """Request the events after the last one that was applied."""
         self.transport = cast(asyncio.Transport, transport)
         hello = changelog.hello(self._seq)
         self.transport.write(hello)
         self._watcher.opened(self, len(hello))
 
     def data_received(self, data: bytes) -> None:
-        """Frames, however they are cut."""
+        """Pass on the bytes; a frame may arrive in several pieces."""
         self._watcher.received(self, data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone."""
+        """Let the watcher connect again."""
         self._watcher.lost(self)
 
 
 class Watcher:
-    """Follows the change log as the router's reducer does, and lets the decision module take each list."""
+    """Follows the change log as the router's reducer does, and applies each list to a decision module."""
 
     def __init__(
-        self, address: Address, settings: Settings, seed: int, clock: SlackClock, meter: Meter
+        self, address: Address, settings: Settings, seed: int, clock: SkewedClock, meter: Meter
     ) -> None:
-        self.settings, self.clock, self.meter = settings, clock, meter
+        self.settings = settings
+        self.clock = clock
         self.choice = Choice(settings, clock.now(), seed)
-        self.addresses: dict[str, Address] = {}
         self.applied_at: dict[int, float] = {}  # by event, on the machine's clock
+        # Kept as the product's reducer keeps them, so that memory and CPU time are comparable.
+        self.addresses: dict[str, Address] = {}
         self.lost_connections = 0
-        self._log = follower.Follower(address, clock.now())
+        self._meter = meter
+        self._follower = follower.Follower(address, clock.now())
         self._connection: LogConnection | None = None
         self._connecting: asyncio.Task[None] | None = None
         self._timers: set[asyncio.TimerHandle] = set()
         self._closed = False
 
-    @property
-    def seq(self) -> int:
-        """The last event that was applied."""
-        return self._log.seq
-
     def start(self) -> None:
         """Connect and follow."""
-        self._dial(self._log.dials)
+        self._dial(self._follower.dials)
 
     def close(self) -> None:
-        """End without a word."""
+        """Stop at once, as a process that is killed."""
         self._closed = True
         for timer in self._timers:
             timer.cancel()
-        self._drop()
+        self._disconnect()
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self._connecting is not None:
             self._connecting.cancel()
-        connection, self._connection = self._connection, None
+        connection = self._connection
+        self._connection = None
         if connection is not None and connection.transport is not None:
             connection.transport.abort()
 
     def _dial(self, dials: int) -> None:
-        if self._closed or dials != self._log.dials:
+        """Connect, unless another connection was begun since this was scheduled."""
+        if self._closed or dials != self._follower.dials:
             return
-        self._drop()
-        asked = follower.dial(self._log, self.clock.now())
-        self._connection = LogConnection(self, asked.seq, self._log.dials)
+        self._disconnect()
+        request = follower.dial(self._follower, self.clock.now())
+        self._connection = LogConnection(self, request.seq)
         self._connecting = asyncio.get_running_loop().create_task(self._connect(self._connection))
-        self._later(self._due(), self._check, self._log.dials)
+        self._schedule(self._silence_ends_at(), self._check_silence)
 
     async def _connect(self, connection: LogConnection) -> None:
+        loop = asyncio.get_running_loop()
         try:
-            await asyncio.get_running_loop().create_connection(lambda: connection, *self._log.address)
+            await loop.create_connection(lambda: connection, *self._follower.address)
         except OSError:
             self.lost(connection)
 
-    def _due(self) -> float:
-        return follower.due(self._log, self.settings.rules.drain_grace)
+    def _silence_ends_at(self) -> float:
+        """When the connection is given up unless something arrives, on the router's clock."""
+        return follower.due(self._follower, self.settings.rules.drain_grace)
 
-    def _later(self, at: float, call: Callable[[int], None], dials: int) -> None:
+    def _schedule(self, router_time: float, call: Callable[[int], None]) -> None:
+        """Call with the number of the current dial, so that the call can tell if it is outdated."""
         loop = asyncio.get_running_loop()
+        dials = self._follower.dials
 
         def fire() -> None:
-            # As the product's runtime does: first what has come meanwhile is read, and only then the timer
-            # acts. A process that many routers share is often later than the change log's silence allows.
+            # As in the product's runtime, data that has arrived meanwhile is read before the timer acts. This
+            # process is shared by many routers, and often later than the change log's silence allows.
             self._timers.discard(timer)
             loop.call_soon(loop.call_soon, call, dials)
 
-        timer = loop.call_later(max(0.0, self.clock.delay(at)), fire)
+        timer = loop.call_later(max(0.0, self.clock.delay_until(router_time)), fire)
         self._timers.add(timer)
 
-    def _check(self, dials: int) -> None:
-        if self._closed or not self._log.open or dials != self._log.dials:
+    def _check_silence(self, dials: int) -> None:
+        """Connect again if the change log was silent for too long."""
+        if self._closed or not self._follower.open or dials != self._follower.dials:
             return
-        due = self._due()
-        if self.clock.now() < due - 1e-6:
-            self._later(due, self._check, dials)
+        due_at = self._silence_ends_at()
+        if self.clock.now() < due_at - TIMER_TOLERANCE_S:
+            self._schedule(due_at, self._check_silence)
             return
-        follower.hung(self._log)
+        follower.hung(self._follower)
         self.lost_connections += 1
         self._dial(dials)
 
     def opened(self, connection: LogConnection, hello_bytes: int) -> None:
-        """The connection is up."""
+        """Note that the connection is established and its hello sent."""
         if connection is self._connection:
-            self.meter.sent(hello_bytes)
-            follower.opened(self._log, self.clock.now())
+            self._meter.sent(hello_bytes)
+            follower.opened(self._follower, self.clock.now())
 
     def received(self, connection: LogConnection, data: bytes) -> None:
-        """Decode what came and apply it."""
-        if connection is not self._connection or self._closed or not self._log.open:
+        """Decode what arrived and apply new events; the connection ends on a protocol error."""
+        if connection is not self._connection or self._closed or not self._follower.open:
             return
-        self.meter.received(len(data))
+        self._meter.received(len(data))
         try:
-            with self.meter:
+            with self._meter:
                 for update in connection.decoder.feed(data):
-                    if follower.read(self._log, update, self.clock.now()) and update.change is not None:
+                    is_new = follower.read(self._follower, update, self.clock.now())
+                    if is_new and update.change is not None:
                         self._apply(update.seq, update.change, update.addresses or {})
         except (BadFrameError, ValueError):
             self.lost(connection)
@@ -147,9 +155,9 @@
         self.applied_at[seq] = time.monotonic()
 
     def lost(self, connection: LogConnection) -> None:
-        """The connection is of no more use; connect anew after a while."""
-        if connection is not self._connection or self._closed or not self._log.open:
+        """Connect again after the follower's backoff."""
+        if connection is not self._connection or self._closed or not self._follower.open:
             return
         self.lost_connections += 1
-        at = self.clock.now() + follower.lose(self._log)
-        self._later(at, self._dial, self._log.dials)
+        retry_at = self.clock.now() + follower.lose(self._follower)
+        self._schedule(retry_at, self._dial)
--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -19,14 +19,16 @@
 
 from grebeproxy.lab.__main__ import main
 from grebeproxy.lab.record import load_record
+from grebeproxy.lab.scale.addresses import engine_addresses
 from grebeproxy.lab.scale.changelog_run import run_changelog
 from grebeproxy.lab.scale.changelog_server import ChangeLog, frame
-from grebeproxy.lab.scale.clock import MOST_DRIFT, SlackClock
-from grebeproxy.lab.scale.deployment import DRAINING, EngineRecord, engine_addresses, settings
+from grebeproxy.lab.scale.clock import MAX_DRIFT, SkewedClock
+from grebeproxy.lab.scale.deployment import DRAINING, EngineRecord, settings
 from grebeproxy.lab.scale.fleet_run import run_fleet
 from grebeproxy.lab.scale.hollow_engines import FIELDS, PAGE
-from grebeproxy.lab.scale.hollow_routers import HollowRouters, RoutersPlan
+from grebeproxy.lab.scale.hollow_routers import HollowRouters
 from grebeproxy.lab.scale.membership_run import run_membership
+from grebeproxy.lab.scale.plans import RoutersPlan
 from grebeproxy.lab.scale.processes import WorkerError, Workers
 from grebeproxy.lab.scale.run import Options, Outcome, Progress
 from grebeproxy.membership.lease import DRIFT
@@ -206,7 +208,7 @@
             time.sleep(0.05)
         assert log.call("hellos") == [published.seq] * 5
         assert routers.call("engines_known") == [30] * 5
-        assert log.call("served").whole_lists == 5  # none was sent again
+        assert log.call("totals").full_lists == 5  # none was sent again
 
 
 def test_an_engines_answer_is_decoded_by_the_products_codec() -> None:
@@ -218,12 +220,12 @@
 
 
 def test_clocks_differ_by_less_than_leases_allow() -> None:
-    assert 2 * MOST_DRIFT < DRIFT
-    clocks = [SlackClock(Random(seed)) for seed in range(20)]
+    assert 2 * MAX_DRIFT < DRIFT
+    clocks = [SkewedClock(Random(seed)) for seed in range(20)]
     shown = [clock.now() for clock in clocks]
     assert max(shown) - min(shown) > 10.0
     for clock in clocks:
-        assert clock.delay(clock.now() + 1.0) == pytest.approx(1.0, abs=MOST_DRIFT + 0.01)
+        assert clock.delay_until(clock.now() + 1.0) == pytest.approx(1.0, abs=MAX_DRIFT + 0.01)
 
 
 # --- the processes
--- a/tests/test_lab_scale_truth.py
+++ b/tests/test_lab_scale_truth.py
@@ -11,12 +11,14 @@
 import pytest
 from scale_relays import ASK, DENY, GRANT, Packet, Relays, digest_versions
 
+from grebeproxy.lab.scale.addresses import engine_addresses
 from grebeproxy.lab.scale.changelog_server import ChangeLog
-from grebeproxy.lab.scale.deployment import DRAINING, EngineRecord, engine_addresses
+from grebeproxy.lab.scale.deployment import DRAINING, EngineRecord
 from grebeproxy.lab.scale.duty_target import DutyTarget
-from grebeproxy.lab.scale.hollow_routers import HollowRouters, MembershipPlan, RoutersPlan, router_name
+from grebeproxy.lab.scale.hollow_routers import HollowRouters
+from grebeproxy.lab.scale.plans import MembershipPlan, RoutersPlan, router_name
 from grebeproxy.lab.scale.processes import Worker, Workers
-from grebeproxy.lab.scale.real_routers import RealRouter, RealRouters
+from grebeproxy.lab.scale.real_routers import RealRouterPlan, RealRouters
 
 HOLLOW, REAL = 3, 3
 ALL = HOLLOW + REAL
@@ -39,8 +41,9 @@
 
     def views(self) -> dict[str, tuple[str, str]]:
         """Members and condition as each router sees them."""
-        seen = {name: (" ".join(told[0]), told[1]) for name, told in self.hollow.call("views").items()}
-        return seen | {name: (told[0], told[2]) for name, told in self.real.call("views").items()}
+        hollow, real = self.hollow.call("views"), self.real.call("views")
+        seen = {name: (" ".join(view.members), view.condition) for name, view in hollow.items()}
+        return seen | {name: (view.members, view.condition) for name, view in real.items()}
 
 
 def until(wanted: Callable[[], bool], what: str, most_s: float = 40.0) -> None:
@@ -80,7 +83,7 @@
     names = [router_name(number) for number in range(HOLLOW)]
     names += [f"r{number:05d}" for number in range(HOLLOW, ALL)]
     made = [
-        RealRouter(
+        RealRouterPlan(
             names[number],
             number,
             ALL,
