--- a/tests/scale_relays.py
+++ b/tests/scale_relays.py
@@ -1,4 +1,4 @@
-"""Relays before the sockets of routers: they pass on every datagram and note who sent what to whom."""
+"""Relays in front of the routers' sockets: they forward every datagram and record sender and receiver."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from grebeproxy.peers.node import DELTA, DIGEST, MEMBER, VOTE
 
 Address = tuple[str, int]
-BODY_AT = 17  # behind the version and the digest of a packet
+BODY_OFFSET = 17  # after the version and the digest of a packet
 GROUPS = {MEMBER: "membership", VOTE: "leases", DELTA: "replies"}
-ASK, GRANT, DENY = 1, 2, 3  # votes on the wire
-ASKS_AT = 4  # in a digest's payload: whether it begins an exchange, or replies in one
+REQUEST, GRANT, DENY = 1, 2, 3  # kinds of lease messages on the wire
+REQUESTS_NEWER_FIELD = 4  # of a digest's payload: whether it begins an exchange or replies in one
 
 
 @dataclass(frozen=True, slots=True)
 class Packet:
     """One datagram. ``payload`` is what the node packed."""
 
-    at: float
+    forwarded_at: float
     sender: int
     receiver: int
     size: int
@@ -34,7 +34,7 @@
     @property
     def group(self) -> str:
         if self.payload[0] == DIGEST:
-            return "digests" if self.payload[ASKS_AT] else "replies"
+            return "digests" if self.payload[REQUESTS_NEWER_FIELD] else "replies"
         return GROUPS[self.payload[0]]
 
 
@@ -48,7 +48,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
         relays = self.relays
-        payload = msgpack.unpackb(data[BODY_AT:])[3]
+        payload = msgpack.unpackb(data[BODY_OFFSET:])[3]
         sender = relays.sockets.index((str(addr[0]), addr[1]))
         relays.packets.append(Packet(time.monotonic(), sender, self.receiver, len(data), payload))
         if self.transport is not None:
@@ -56,7 +56,7 @@
 
 
 class Relays:
-    """One relay for each router, on a thread of its own; ``sockets`` is where the routers really listen."""
+    """One relay for each router, all on one thread; ``sockets`` are the addresses the routers listen on."""
 
     def __init__(self, count: int) -> None:
         self.sockets: list[Address] = []
@@ -69,13 +69,13 @@
 
     async def _listen(self, count: int) -> list[Address]:
         for receiver in range(count):
-            made = partial(Relay, self, receiver)
-            transport, _ = await self._loop.create_datagram_endpoint(made, ("127.0.0.1", 0))
+            relay = partial(Relay, self, receiver)
+            transport, _ = await self._loop.create_datagram_endpoint(relay, ("127.0.0.1", 0))
             self._transports.append(transport)
         return [transport.get_extra_info("sockname") for transport in self._transports]
 
     def between(self, since: float, until: float) -> list[Packet]:
-        return [packet for packet in list(self.packets) if since <= packet.at < until]
+        return [packet for packet in list(self.packets) if since <= packet.forwarded_at < until]
 
     def close(self) -> None:
         for transport in self._transports:
@@ -86,9 +86,9 @@
 
 
 def digest_versions(packets: Iterable[Packet], sender: int) -> dict[str, tuple[int, int, int]]:
-    """What the sender's whole digests told last of each origin: life and the number of changes."""
-    told: dict[str, tuple[int, int, int]] = {}
+    """The sender's last complete digest: for each origin generation, incarnation, latest version."""
+    versions: dict[str, tuple[int, int, int]] = {}
     for packet in packets:
         if packet.sender == sender and packet.payload[0] == DIGEST and packet.payload[3]:
-            told = {origin: (first, second, top) for origin, first, second, top in packet.payload[2]}
-    return told
+            versions = {origin: (first, second, top) for origin, first, second, top in packet.payload[2]}
+    return versions
--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -1,4 +1,4 @@
-"""The scale runs at small sizes: their stand-ins, their command, and that nothing is left behind."""
+"""The scale runs at small sizes: their hollow parts, their command, and that they leave nothing behind."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 COMMAND = [sys.executable, "-m", "grebeproxy.lab", "scale"]
 SILENT = Progress(lambda text: None)
-RECORDS = [EngineRecord(number, at) for number, at in enumerate(engine_addresses(30), 1)]
+RECORDS = [EngineRecord(number, address) for number, address in enumerate(engine_addresses(30), 1)]
 
 
 def run(*arguments: str) -> subprocess.CompletedProcess[str]:
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize(
-    "arguments, words",
+    "arguments, expected",
     [
         ((), "Missing argument 'NAME'"),
         (("nothing",), "'nothing' is not one of changelog, membership, fleet"),
@@ -66,17 +66,19 @@
         (("changelog", "more"), "more"),
     ],
 )
-def test_bad_arguments_are_told_in_one_line_with_status_2(arguments: tuple[str, ...], words: str) -> None:
+def test_bad_arguments_are_reported_in_one_line_with_status_2(
+    arguments: tuple[str, ...], expected: str
+) -> None:
     done = CliRunner().invoke(main, ["scale", *arguments])
     assert done.exit_code == 2 and done.stdout == ""
     assert done.stderr.count("\n") == 1 and done.stderr.startswith("scale: ")
-    assert words in done.stderr
+    assert expected in done.stderr
 
 
-def test_bad_arguments_of_the_program_are_told_alike() -> None:
+def test_bad_arguments_of_the_program_are_reported_alike() -> None:
     done = run("changelog", "--sizes", "none")
-    told = "scale: --sizes: 'none' is not a whole number from 1 to 10000\n"
-    assert (done.returncode, done.stdout, done.stderr) == (2, "", told)
+    message = "scale: --sizes: 'none' is not a whole number from 1 to 10000\n"
+    assert (done.returncode, done.stdout, done.stderr) == (2, "", message)
 
 
 def test_a_run_prints_a_table_and_saves_a_record(tmp_path: Path) -> None:
@@ -113,7 +115,7 @@
     assert "changelog: 4 routers, 30 engines" in done.stderr
 
 
-def test_a_size_that_memory_does_not_carry_is_told_and_not_measured() -> None:
+def test_a_size_beyond_the_memory_limit_is_noted_and_not_measured() -> None:
     options = Options(sizes=(4,), engines=(10,), quiet_s=0.2, memory_mb=1)
     outcome = Outcome()
     run_changelog(options, SILENT, outcome)
@@ -150,7 +152,7 @@
     run_membership(options, SILENT, outcome)
     assert outcome.notes == []
     values = outcome.points[0].values
-    assert values["quiet_packets_per_s"] > 5.0  # a ping or an answer to one in each period at least
+    assert values["quiet_packets_per_s"] > 5.0  # at least a ping or its acknowledgement in each period
     assert values["quiet_bytes_per_s"] > 30.0 * values["quiet_packets_per_s"]
     assert 0.0 < values["kill_first_s"] <= values["kill_last_s"] < 30.0
     assert values["restart_routers"] == 1.0 and values["restart_last_s"] > 0.0
@@ -170,7 +172,7 @@
     assert point.values["engines_asked"] > 0.0 and point.values["hollow_bytes_per_s"] > 0.0
 
 
-# --- the stand-ins
+# --- the hollow parts and the change log
 
 
 @pytest.mark.parametrize("cut", [1, 7, 36, 10_000])
@@ -179,13 +181,14 @@
     changed = EngineRecord(2, RECORDS[1].address, DRAINING)
     data = frame(1, changelog.FULL, b"".join(record.pack() for record in RECORDS))
     data += frame(1, changelog.NOTHING) + frame(2, changelog.CHANGES, changed.pack())
-    news = [item for at in range(0, len(data), cut) for item in decoder.feed(data[at : at + cut])]
-    whole, nothing, changes = news
-    assert whole.change is not None and whole.change.how is ListKind.FULL
-    assert [engine.id for engine in whole.change.engines] == [f"s-{number:08x}" for number in range(1, 31)]
-    assert whole.addresses == {f"s-{record.number:08x}": record.address for record in RECORDS}
-    assert len({engine.zone for engine in whole.change.engines}) == 6
-    assert (nothing.seq, nothing.change, nothing.addresses) == (1, None, None)
+    pieces = [data[start : start + cut] for start in range(0, len(data), cut)]
+    updates = [update for piece in pieces for update in decoder.feed(piece)]
+    full, heartbeat, changes = updates
+    assert full.change is not None and full.change.how is ListKind.FULL
+    assert [engine.id for engine in full.change.engines] == [f"s-{number:08x}" for number in range(1, 31)]
+    assert full.addresses == {f"s-{record.number:08x}": record.address for record in RECORDS}
+    assert len({engine.zone for engine in full.change.engines}) == 6
+    assert (heartbeat.seq, heartbeat.change, heartbeat.addresses) == (1, None, None)
     assert changes.change is not None and changes.change.how is ListKind.CHANGES
     assert [(engine.id, engine.state) for engine in changes.change.engines] == [
         ("s-00000002", EngineState.DRAINING)
@@ -214,7 +217,7 @@
 def test_an_engines_answer_is_decoded_by_the_products_codec() -> None:
     words: tuple[Any, ...] = (b"00ff00ff00ff00ff", b"ok", FIELDS, PAGE)
     [answer] = resp.Decoder().feed(hiredis.pack_command(words))
-    # One that is spoilt in any way would be decoded without its page.
+    # A damaged answer would be decoded without its page.
     assert (answer.txn, answer.body, answer.pages, answer.page) == (words[0].decode(), PAGE, 1, 0)
     assert answer.report == {"cpu": 0.1, "waiting": 0.0, "memory_granted": 0.05}
 
@@ -232,7 +235,7 @@
 
 
 class Failing:
-    """A service that cannot do what it is asked."""
+    """A service with a method that always fails."""
 
     def fail(self) -> None:
         raise ValueError("no such thing")
@@ -244,7 +247,7 @@
         pass
 
 
-def test_a_call_that_fails_and_a_child_that_dies_are_told() -> None:
+def test_a_call_that_fails_and_a_child_that_dies_are_reported() -> None:
     with Workers() as workers:
         worker = workers.start(Failing)
         with pytest.raises(WorkerError, match="Failing: fail: ValueError: no such thing"):
@@ -288,7 +291,7 @@
 
 
 def running(pids: set[int]) -> set[int]:
-    """Those that have not ended; a zombie has."""
+    """Those that have not ended; a zombie counts as ended."""
     alive = set()
     for pid in pids:
         try:
@@ -300,7 +303,7 @@
     return alive
 
 
-def hear_interrupts() -> None:
+def restore_interrupts() -> None:
     """A shell starts what runs in the background with SIGINT ignored, and a child inherits that."""
     signal.signal(signal.SIGINT, signal.SIG_DFL)
 
@@ -311,7 +314,7 @@
     process = subprocess.Popen(
         [*COMMAND, *arguments], stdout=subprocess.DEVNULL, stderr=subprocess.PIPE, text=True, cwd=tmp_path,
         env={**os.environ, "TMPDIR": str(tmp_path), "PYTHONPATH": str(Path(__file__).parent.parent)},
-        preexec_fn=hear_interrupts,
+        preexec_fn=restore_interrupts,
     )  # fmt: skip
     yield process
     process.kill()
@@ -324,19 +327,21 @@
 ) -> None:
     deadline = time.monotonic() + 30.0
     children: set[int] = set()
-    held: set[str] = set()
-    while time.monotonic() < deadline and (sum(map(is_real_router, children)) < 3 or len(held) < SOCKETS):
+    open_sockets: set[str] = set()
+    while time.monotonic() < deadline and (
+        sum(map(is_real_router, children)) < 3 or len(open_sockets) < SOCKETS
+    ):
         time.sleep(0.1)
         children |= descendants(fleet_run.pid)
-        held = sockets(running(children)) & open_inodes()
-    assert sum(map(is_real_router, children)) == 3 and len(held) >= SOCKETS
+        open_sockets = sockets(running(children)) & open_inodes()
+    assert sum(map(is_real_router, children)) == 3 and len(open_sockets) >= SOCKETS
     fleet_run.send_signal(number)
     assert fleet_run.wait(20.0) != 0
     deadline = time.monotonic() + 20.0
     while (left := running(children)) and time.monotonic() < deadline:
         time.sleep(0.1)
     assert not left
-    assert not held & open_inodes()
+    assert not open_sockets & open_inodes()
     assert list(tmp_path.iterdir()) == []
 
 
--- a/tests/test_lab_scale_truth.py
+++ b/tests/test_lab_scale_fidelity.py
@@ -1,4 +1,4 @@
-"""Hollow routers beside real ones: they say as much, in as many bytes, and know the same."""
+"""Hollow routers beside real ones send as many messages and bytes, and reach the same state."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from statistics import fmean
 
 import pytest
-from scale_relays import ASK, DENY, GRANT, Packet, Relays, digest_versions
+from scale_relays import DENY, GRANT, REQUEST, Packet, Relays, digest_versions
 
 from grebeproxy.lab.scale.addresses import engine_addresses
 from grebeproxy.lab.scale.changelog_server import ChangeLog
@@ -24,11 +24,11 @@
 ALL = HOLLOW + REAL
 ENGINES = 40
 WINDOW_S = 5.0
-MOST_DIFFERENCE = 0.25  # of packets and of bytes a router, between the means of hollow and of real ones
-MOST_REPLIES_FACTOR = 3.0  # between all replies of hollow routers and all of real ones
-MOST_LIFE_FRAMES = 2  # by which connections to the change log may differ over a window: one at each end
-LIFE_FRAME_BYTES = 13
-MOST_MARKS = 2  # by which the copies of two routers may be apart
+MAX_DIFFERENCE = 0.25  # relative, of packets and bytes, between the means of hollow and real routers
+MAX_REPLIES_RATIO = 3.0  # between all replies of hollow routers and all of real ones
+MAX_HEARTBEAT_DIFFERENCE = 2  # between connections to the change log: one at each end of the window
+HEARTBEAT_BYTES = 13
+MAX_VERSION_DIFFERENCE = 2  # between the replicated records of two routers
 
 
 @dataclass(frozen=True)
@@ -46,17 +46,17 @@
         return seen | {name: (view.members, view.condition) for name, view in real.items()}
 
 
-def until(wanted: Callable[[], bool], what: str, most_s: float = 40.0) -> None:
+def wait_until(condition: Callable[[], bool], description: str, timeout_s: float = 40.0) -> None:
     began = time.monotonic()
-    while not wanted():
-        assert time.monotonic() - began < most_s, f"{what}: not within {most_s} s"
+    while not condition():
+        assert time.monotonic() - began < timeout_s, f"{description}: not within {timeout_s} s"
         time.sleep(0.1)
 
 
 def free_port(kind: socket.SocketKind) -> int:
-    with socket.socket(socket.AF_INET, kind) as taken:
-        taken.bind(("127.0.0.1", 0))
-        port: int = taken.getsockname()[1]
+    with socket.socket(socket.AF_INET, kind) as probe:
+        probe.bind(("127.0.0.1", 0))
+        port: int = probe.getsockname()[1]
         return port
 
 
@@ -71,7 +71,7 @@
 
 
 def start(relays: Relays, workers: Workers) -> Stage:
-    records = [EngineRecord(number, at) for number, at in enumerate(engine_addresses(ENGINES), 1)]
+    records = [EngineRecord(number, address) for number, address in enumerate(engine_addresses(ENGINES), 1)]
     log, duty = workers.start(ChangeLog), workers.start(DutyTarget)
     real = workers.start(RealRouters)
     changelog = log.call("listen", records)
@@ -82,7 +82,7 @@
     relays.sockets += [("127.0.0.1", free_port(socket.SOCK_DGRAM)) for _ in range(REAL)]
     names = [router_name(number) for number in range(HOLLOW)]
     names += [f"r{number:05d}" for number in range(HOLLOW, ALL)]
-    made = [
+    plans = [
         RealRouterPlan(
             names[number],
             number,
@@ -97,7 +97,7 @@
         for number in range(HOLLOW, ALL)
     ]
     hollow.call("configure", [seeds] * HOLLOW, relays.addresses[:HOLLOW])
-    real.send("start", made)
+    real.send("start", plans)
     hollow.call("start")
     real.receive()
     return Stage(relays, log, hollow, real, names)
@@ -105,18 +105,19 @@
 
 def agree(hollow: list[float], real: list[float], what: str) -> None:
     """The means of both kinds are within the bound of each other."""
-    one, other = fmean(hollow), fmean(real)
-    assert min(one, other) > 0.0, f"{what}: hollow {hollow}, real {real}"
-    assert abs(one - other) <= MOST_DIFFERENCE * max(one, other), f"{what}: hollow {hollow}, real {real}"
+    hollow_mean, real_mean = fmean(hollow), fmean(real)
+    assert min(hollow_mean, real_mean) > 0.0, f"{what}: hollow {hollow}, real {real}"
+    bound = MAX_DIFFERENCE * max(hollow_mean, real_mean)
+    assert abs(hollow_mean - real_mean) <= bound, f"{what}: hollow {hollow}, real {real}"
 
 
 def totals(packets: list[Packet], sender: int, group: str) -> tuple[int, int]:
-    mine = [packet.size for packet in packets if packet.sender == sender and packet.group == group]
-    return len(mine), sum(mine)
+    sizes = [packet.size for packet in packets if packet.sender == sender and packet.group == group]
+    return len(sizes), sum(sizes)
 
 
 def compare_packets(packets: list[Packet]) -> None:
-    """Packets and bytes of membership, and of digests that begin an exchange of copies, for each router."""
+    """Packets and bytes of membership, and of digests that begin an anti-entropy exchange, by router."""
     for group in ("membership", "digests"):
         for position, unit in enumerate(("packets", "bytes")):
             sent = [float(totals(packets, sender, group)[position]) for sender in range(ALL)]
@@ -124,11 +125,11 @@
 
 
 def compare_replies(packets: list[Packet]) -> None:
-    """Who is asked for a change first is chance: in number a wide bound, in bytes of each the usual one."""
+    """Who replies first is random, so the bound is wide for the number and the usual one for bytes each."""
     replies = [totals(packets, sender, "replies") for sender in range(ALL)]
     hollow, real = replies[:HOLLOW], replies[HOLLOW:]
     counts = sum(count for count, _ in hollow), sum(count for count, _ in real)
-    assert 0 < max(counts) <= MOST_REPLIES_FACTOR * min(counts), replies
+    assert 0 < max(counts) <= MAX_REPLIES_RATIO * min(counts), replies
     sizes = [
         sum(size for _, size in part) / count for part, count in zip((hollow, real), counts, strict=True)
     ]
@@ -136,26 +137,26 @@
 
 
 def compare_votes(packets: list[Packet]) -> None:
-    """Leases: one router asks all others, so compared are the answers to an asking, and their bytes."""
+    """Leases: one router requests votes of all others, so the answers to a request are compared."""
     votes = [packet for packet in packets if packet.group == "leases"]
-    asks = [packet for packet in votes if packet.payload[3][0] == ASK]
+    requests = [packet for packet in votes if packet.payload[3][0] == REQUEST]
     answers = [packet for packet in votes if packet.payload[3][0] in (GRANT, DENY)]
-    hollow, real = (votes_of(asks, answers, kind) for kind in (range(HOLLOW), range(HOLLOW, ALL)))
-    for position, unit in enumerate(("answers to an asking", "bytes of answers to an asking")):
+    hollow, real = (votes_of(requests, answers, kind) for kind in (range(HOLLOW), range(HOLLOW, ALL)))
+    for position, unit in enumerate(("answers to a request", "bytes of answers to a request")):
         agree([hollow[position]], [real[position]], f"leases, {unit}")
 
 
-def votes_of(asks: list[Packet], answers: list[Packet], routers: range) -> tuple[float, float]:
-    """Packets and bytes that these routers answered for each asking that came to them."""
-    asked = sum(packet.receiver in routers for packet in asks)
+def votes_of(requests: list[Packet], answers: list[Packet], routers: range) -> tuple[float, float]:
+    """Packets and bytes that these routers answered for each request they received."""
+    received = sum(packet.receiver in routers for packet in requests)
     sizes = [packet.size for packet in answers if packet.sender in routers]
-    return len(sizes) / max(1, asked), sum(sizes) / max(1, asked)
+    return len(sizes) / max(1, received), sum(sizes) / max(1, received)
 
 
 def test_hollow_and_real_routers_agree_in_messages_bytes_and_state(stage: Stage) -> None:
     settled = {name: (" ".join(stage.names), "settled") for name in stage.names}
-    until(lambda: stage.views() == settled, "all settled")
-    time.sleep(1.5)  # the lease is held, and the news of the joins are passed on
+    wait_until(lambda: stage.views() == settled, "all settled")
+    time.sleep(1.5)  # the lease is granted, and the gossip about the joins has ended
 
     # Messages and bytes in a quiet time.
     began, log_before = time.monotonic(), stage.log.call("bytes_by_port")
@@ -166,25 +167,30 @@
     compare_votes(packets)
     assert len(log_before) == ALL and log_before.keys() == log_after.keys()
     read = [log_after[port] - log_before[port] for port in log_before]
-    assert max(read) - min(read) <= MOST_LIFE_FRAMES * LIFE_FRAME_BYTES and min(read) > 0, read
+    assert max(read) - min(read) <= MAX_HEARTBEAT_DIFFERENCE * HEARTBEAT_BYTES and min(read) > 0, read
 
-    # The same copies of what all say: the same origins, in the same lives, a mark or two apart.
-    told = [digest_versions(packets, sender) for sender in range(ALL)]
-    assert {frozenset(versions) for versions in told} == {frozenset(stage.names)}
+    # The same replicated records: the same origins and incarnations, two versions apart at most.
+    digests = [digest_versions(packets, sender) for sender in range(ALL)]
+    assert {frozenset(versions) for versions in digests} == {frozenset(stage.names)}
     for origin in stage.names:
-        held = [versions[origin] for versions in told]
-        assert len({version[:2] for version in held}) == 1
-        assert max(top for _, _, top in held) - min(top for _, _, top in held) <= MOST_MARKS
+        replicas = [versions[origin] for versions in digests]
+        assert len({version[:2] for version in replicas}) == 1
+        latest = [top for _, _, top in replicas]
+        assert max(latest) - min(latest) <= MAX_VERSION_DIFFERENCE
 
-    # The engine list: after two changes all ask for what comes after the last of them.
+    # The engine list: after two changes all name the last of them when they connect again.
     for number in (1, 2):
         published = stage.log.call("set_state", [number], DRAINING)
-    until(lambda: len(stage.hollow.call("applied", published.seq)) == HOLLOW, "the change at hollow routers")
+    wait_until(
+        lambda: len(stage.hollow.call("applied", published.seq)) == HOLLOW, "the change at hollow routers"
+    )
     time.sleep(0.5)
     stage.log.call("disconnect_all")
-    until(lambda: stage.log.call("hellos") == [published.seq] * ALL, "all connected anew after the change")
+    wait_until(
+        lambda: stage.log.call("hellos") == [published.seq] * ALL, "all connected again after the change"
+    )
 
     # One is killed: all the others see the same.
     stage.hollow.call("kill", [stage.names[0]])
     rest = {name: (" ".join(stage.names[1:]), "settled") for name in stage.names[1:]}
-    until(lambda: stage.views() == rest, "all settled without the killed one")
+    wait_until(lambda: stage.views() == rest, "all settled without the killed one")
