--- a/grebeproxy/lab/scale/changelog_run.py
+++ b/grebeproxy/lab/scale/changelog_run.py
@@ -5,7 +5,7 @@
 import time
 from dataclasses import dataclass
 
-from grebeproxy.lab.record import MEBIBYTE, Point
+from grebeproxy.lab.record import KIBIBYTE, MEBIBYTE, Point
 from grebeproxy.lab.scale.addresses import engine_addresses
 from grebeproxy.lab.scale.changelog_server import (
     FIRST_LIST_SEQ,
@@ -18,15 +18,13 @@
 from grebeproxy.lab.scale.processes import Worker, Workers
 from grebeproxy.lab.scale.run import Options, Outcome, Progress, SizeNotReachedError
 from grebeproxy.lab.scale.usage import Usage, used_between
+from grebeproxy.lab.scale.units import MS_PER_SECOND, US_PER_SECOND
 
 SINGLE_CHANGES = 6  # each is measured separately
 RACKS = 80  # a rack is that part of the engines
 USABLE_MEMORY = 0.85  # of the memory limit, which a size may be expected to use
 PAUSE_BETWEEN_CHANGES_S = 0.1
 SIZE_STEP = 100  # reduced sizes are multiples of it
-KIB_PER_MIB = 1024
-MS_PER_SECOND = 1000
-US_PER_SECOND = 1e6
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +67,7 @@
                 )
                 continue
             outcome.points.append(point)
-            mb_per_pair = point.values["memory_kb"] / KIB_PER_MIB / fitting.engines
+            mb_per_pair = point.values["memory_kb"] / KIBIBYTE / fitting.engines  # from KiB to MiB
 
 
 def _fitting(
--- a/grebeproxy/lab/scale/clients.py
+++ b/grebeproxy/lab/scale/clients.py
@@ -13,15 +13,15 @@
 
 from grebeproxy.lab.scale.addresses import Address
 from grebeproxy.lab.scale.deployment import TENANT
+from grebeproxy.lab.scale.units import MS_PER_SECOND
 
 REQUEST = 0  # a message type of MessagePack-RPC
 REJECTED = "TryLater"  # the error of a router that sheds load
 DEADLINE_MS = 2000
-LAST_ANSWERS_S = DEADLINE_MS / 1000 + 0.5
+LAST_ANSWERS_S = DEADLINE_MS / MS_PER_SECOND + 0.5
 POLL_INTERVAL_S = 0.05
 STATEMENT = b"SELECT n FROM ops_%d.t"
 TABLE_GROUPS = 50
-MS_PER_SECOND = 1000
 
 
 @dataclass(frozen=True, slots=True)
--- a/grebeproxy/lab/scale/fleet_run.py
+++ b/grebeproxy/lab/scale/fleet_run.py
@@ -22,13 +22,13 @@
 from grebeproxy.lab.scale.real_routers import LoggedView, RealRouterPlan, RealRouters, RealRouterTotals
 from grebeproxy.lab.scale.run import Options, Outcome, Progress, SizeNotReachedError
 from grebeproxy.lab.scale.usage import Usage, used_between
+from grebeproxy.lab.scale.units import US_PER_SECOND
 
 REAL_ROUTERS = 3
 ENGINE_PROCESSES = 2
 CONNECTIONS_PER_ROUTER = 5  # of clients; a real router closes those that are idle for 2 s
 RATE = 10.0  # statements a second to each real router
 WARM_UP_S = 3.0  # of statements that are not counted, while connections to engines are made
-US_PER_SECOND = 1e6
 # By how much the clients' 99th percentile may grow beside the hollow routers before a note says so.
 MAX_P99_FACTOR, MAX_P99_INCREASE_MS = 1.5, 5.0
 
--- a/grebeproxy/lab/scale/member.py
+++ b/grebeproxy/lab/scale/member.py
@@ -106,11 +106,11 @@
             self._transport.sendto(packet, to)
             self._meter.sent(len(packet))
 
-    def _wake(self, at: float) -> None:
+    def _wake(self, wake_at: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._wake_at = at
-        delay = max(MIN_DELAY_S, self._clock.delay_until(at))
+        self._wake_at = wake_at
+        delay = max(MIN_DELAY_S, self._clock.delay_until(wake_at))
         self._timer = asyncio.get_running_loop().call_later(delay, self._tick)
 
     def _tick(self) -> None:
--- a/grebeproxy/lab/scale/membership_run.py
+++ b/grebeproxy/lab/scale/membership_run.py
@@ -11,6 +11,7 @@
 from grebeproxy.lab.scale.processes import Worker, Workers, call_all
 from grebeproxy.lab.scale.run import Options, Outcome, Progress, SizeNotReachedError
 from grebeproxy.lab.scale.usage import Usage, used_between
+from grebeproxy.lab.scale.units import MS_PER_SECOND, US_PER_SECOND
 
 # Events that a router logs of another member.
 FAILED_EVENTS = ("failed", "left")
@@ -19,8 +20,6 @@
 STARTS_PER_SECOND = 40.0  # a fleet does not start all its routers at the same moment either
 MAX_LATENESS = 0.1  # of a period, for the mean delay of timers; beyond it the machine is measured
 SETTLING_PERIODS = 12.0  # until the gossip about the joins has ended
-MS_PER_SECOND = 1000
-US_PER_SECOND = 1e6
 
 
 def run_membership(options: Options, progress: Progress, outcome: Outcome) -> None:
--- a/grebeproxy/lab/scale/real_routers.py
+++ b/grebeproxy/lab/scale/real_routers.py
@@ -18,13 +18,13 @@
 from grebeproxy.lab.scale.deployment import settings_document
 from grebeproxy.lab.scale.meter import process_cpu_s, resident_bytes
 from grebeproxy.lab.scale.plans import DUTY, DUTY_INTERVAL_S, KEY, MembershipPlan
+from grebeproxy.lab.scale.units import MS_PER_SECOND
 
 SOCKETS = 1024
 MEMORY_MB = 192
 START_TIMEOUT_S = 30.0
 END_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.05
-MS_PER_SECOND = 1000.0
 SHOWN_LOG_CHARACTERS = 200
 
 
