--- a/grebeproxy/lab/scale/changelog_run.py
+++ b/grebeproxy/lab/scale/changelog_run.py
@@ -17,8 +17,8 @@
 from grebeproxy.lab.scale.fleet import Fleet
 from grebeproxy.lab.scale.processes import Worker, Workers
 from grebeproxy.lab.scale.run import Options, Outcome, Progress, SizeNotReachedError
-from grebeproxy.lab.scale.usage import Usage, used_between
 from grebeproxy.lab.scale.units import MS_PER_SECOND, US_PER_SECOND
+from grebeproxy.lab.scale.usage import Usage, used_between
 
 SINGLE_CHANGES = 6  # each is measured separately
 RACKS = 80  # a rack is that part of the engines
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pair:
+class PointSize:
     """How many routers follow a list of how many engines."""
 
     routers: int
@@ -52,13 +52,15 @@
     routers with as many engines as fit.
     """
     most_engines = max(options.engines)
-    pairs = [
-        Pair(min(options.sizes), engines) for engines in sorted(options.engines) if engines != most_engines
+    point_sizes = [
+        PointSize(min(options.sizes), engines)
+        for engines in sorted(options.engines)
+        if engines != most_engines
     ]
-    pairs += [Pair(size, most_engines) for size in sorted(options.sizes)]
-    mb_per_pair = 0.0  # memory that one router used for one engine at the size before
-    for pair in pairs:
-        for fitting in _fitting(pair, mb_per_pair, options, progress, outcome):
+    point_sizes += [PointSize(size, most_engines) for size in sorted(options.sizes)]
+    mb_per_router_and_engine = 0.0  # memory that one router used for one engine at the size before
+    for point_size in point_sizes:
+        for fitting in _fitting(point_size, mb_per_router_and_engine, options, progress, outcome):
             try:
                 point = measure_changelog(fitting, options, progress)
             except SizeNotReachedError as reason:
@@ -67,24 +69,29 @@
                 )
                 continue
             outcome.points.append(point)
-            mb_per_pair = point.values["memory_kb"] / KIBIBYTE / fitting.engines  # from KiB to MiB
+            memory_mb = point.values["memory_kb"] / KIBIBYTE
+            mb_per_router_and_engine = memory_mb / fitting.engines
 
 
 def _fitting(
-    pair: Pair, mb_per_pair: float, options: Options, progress: Progress, outcome: Outcome
-) -> list[Pair]:
-    """The pair itself if it is expected to fit into memory, or two reduced ones."""
-    expected_mb = pair.routers * pair.engines * mb_per_pair
+    point_size: PointSize,
+    mb_per_router_and_engine: float,
+    options: Options,
+    progress: Progress,
+    outcome: Outcome,
+) -> list[PointSize]:
+    """The size itself if it is expected to fit into memory, or two reduced sizes."""
+    expected_mb = point_size.routers * point_size.engines * mb_per_router_and_engine
     if expected_mb <= USABLE_MEMORY * options.memory_mb:
-        return [pair]
+        return [point_size]
     part = USABLE_MEMORY * options.memory_mb / expected_mb
     reduced = [
-        Pair(_rounded_down(pair.routers * part), pair.engines),
-        Pair(pair.routers, _rounded_down(pair.engines * part)),
+        PointSize(_rounded_down(point_size.routers * part), point_size.engines),
+        PointSize(point_size.routers, _rounded_down(point_size.engines * part)),
     ]
     replacements = [(each.routers, each.engines) for each in reduced]
     outcome.add_note(
-        f"{pair.routers} routers with {pair.engines} engines would need {expected_mb:.0f} MB "
+        f"{point_size.routers} routers with {point_size.engines} engines would need {expected_mb:.0f} MB "
         f"of {options.memory_mb} MB; measured instead: {replacements}",
         progress,
     )
@@ -95,30 +102,31 @@
     return max(1, int(value) // SIZE_STEP * SIZE_STEP)
 
 
-def measure_changelog(pair: Pair, options: Options, progress: Progress) -> Point:
+def measure_changelog(point_size: PointSize, options: Options, progress: Progress) -> Point:
     """Measure one point: the full list, a time without changes, single changes, and a rack that drains."""
-    size = pair.routers
-    progress.line(f"changelog: {size} routers, {pair.engines} engines")
+    size = point_size.routers
+    progress.line(f"changelog: {size} routers, {point_size.engines} engines")
     records = [
-        EngineRecord(number, address) for number, address in enumerate(engine_addresses(pair.engines), 1)
+        EngineRecord(number, address)
+        for number, address in enumerate(engine_addresses(point_size.engines), 1)
     ]
     with Workers() as workers:
         log = workers.start(ChangeLog)
         fleet = Fleet(workers, options)
         fleet.prepare(size, size, log.call("listen", records), None)
         values = _full_list(fleet, log, size)
-        fleet.wait_until(lambda: min(fleet.engines_known() or [0]) == pair.engines, "the full list")
+        fleet.wait_until(lambda: min(fleet.engines_known() or [0]) == point_size.engines, "the full list")
         progress.line(f"  full list at all routers after {values['whole_last_s']:.2f} s")
         values["memory_kb"] = fleet.memory_kb_per_router(size)
         values |= _quiet(fleet.measure(options.quiet_s), size)
-        values |= _changes(fleet, log, pair)
+        values |= _changes(fleet, log, point_size)
         progress.line(f"  a change at all routers after {values['change_last_s']:.3f} s")
         values["lost_connections"] = float(fleet.lost_connections())
         totals: ChangeLogTotals = log.call("totals")
         values["log_memory_mb"] = workers.resident_bytes() / MEBIBYTE - fleet.resident_bytes() / MEBIBYTE
         values["log_bytes"] = float(totals.bytes_sent)
         values["log_cpu_s"] = totals.cpu_s
-    return Point({"routers": float(size), "engines": float(pair.engines)}, values)
+    return Point({"routers": float(size), "engines": float(point_size.engines)}, values)
 
 
 def _full_list(fleet: Fleet, log: Worker, size: int) -> dict[str, float]:
@@ -144,11 +152,11 @@
     }
 
 
-def _changes(fleet: Fleet, log: Worker, pair: Pair) -> dict[str, float]:
-    size = pair.routers
-    last_single = min(SINGLE_CHANGES, pair.engines)
+def _changes(fleet: Fleet, log: Worker, point_size: PointSize) -> dict[str, float]:
+    size = point_size.routers
+    last_single = min(SINGLE_CHANGES, point_size.engines)
     singles = [_publish(fleet, log, [number], DRAINING, size) for number in range(1, last_single + 1)]
-    rack = list(range(1, max(1, pair.engines // RACKS) + 1))
+    rack = list(range(1, max(1, point_size.engines // RACKS) + 1))
     drained = _publish(fleet, log, rack, DRAINING, size)
     restored = _publish(fleet, log, rack, UP, size)
     return {
--- a/grebeproxy/lab/scale/fleet_run.py
+++ b/grebeproxy/lab/scale/fleet_run.py
@@ -21,8 +21,8 @@
 from grebeproxy.lab.scale.processes import Worker, Workers, call_all
 from grebeproxy.lab.scale.real_routers import LoggedView, RealRouterPlan, RealRouters, RealRouterTotals
 from grebeproxy.lab.scale.run import Options, Outcome, Progress, SizeNotReachedError
-from grebeproxy.lab.scale.usage import Usage, used_between
 from grebeproxy.lab.scale.units import US_PER_SECOND
+from grebeproxy.lab.scale.usage import Usage, used_between
 
 REAL_ROUTERS = 3
 ENGINE_PROCESSES = 2
