--- a/grebeproxy/lab/capacity/measure/statement.py
+++ b/grebeproxy/lab/capacity/measure/statement.py
@@ -8,8 +8,6 @@
 from itertools import count, islice
 from typing import NamedTuple
 
-import hiredis
-
 from grebeproxy import Choice
 from grebeproxy.lab.capacity.measure.engines import engine_entries
 from grebeproxy.lab.capacity.measure.router_settings import settings
@@ -18,6 +16,7 @@
     MEMORY_MB,
     RESULT_PAGE,
     Statements,
+    pack_words,
     rate_of,
 )
 from grebeproxy.lab.record import Point
@@ -91,8 +90,7 @@
 
 
 def _engine_answer(txn: str) -> bytes:
-    packed: bytes = hiredis.pack_command((txn, "ok", LOAD_REPORT, RESULT_PAGE))
-    return packed
+    return pack_words(txn, "ok", LOAD_REPORT, RESULT_PAGE)
 
 
 def _min_cpu_us(work: Callable[[], object]) -> float:
--- a/grebeproxy/lab/capacity/measure/stub_servers.py
+++ b/grebeproxy/lab/capacity/measure/stub_servers.py
@@ -13,7 +13,7 @@
 
 from grebeproxy.lab.capacity.measure.engines import engine_host
 from grebeproxy.lab.capacity.measure.process import HOST, Ports
-from grebeproxy.lab.capacity.measure.workload import LOAD_REPORT, RESULT_PAGE
+from grebeproxy.lab.capacity.measure.workload import LOAD_REPORT, RESULT_PAGE, pack_words
 
 BACKLOG = 1024
 HEARTBEAT_SECONDS = 1.0  # between frames of the change log
@@ -54,7 +54,7 @@
 
     def _answer(self, *words: str | bytes) -> None:
         if not self._transport.is_closing():
-            self._transport.write(hiredis.pack_command(words))
+            self._transport.write(pack_words(*words))
 
 
 class ChangeLogStub(asyncio.Protocol):
--- a/grebeproxy/lab/capacity/measure/workload.py
+++ b/grebeproxy/lab/capacity/measure/workload.py
@@ -7,6 +7,7 @@
 from random import Random
 from typing import NamedTuple
 
+import hiredis
 import msgpack
 
 from grebeproxy.policy import interface as api
@@ -47,6 +48,13 @@
     query: api.Query
 
 
+def pack_words(*words: str | bytes) -> bytes:
+    """An answer of an engine in RESP."""
+    # The stubs of hiredis allow tuples of one word only.
+    packed: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]
+    return packed
+
+
 def rate_of(engines: int, routers: int) -> float:
     """Statements a second of one router at which the engines are loaded as at the target."""
     return TARGET_RATE * min(1.0, engines * TARGET_ROUTERS / (routers * TARGET_ENGINES))
--- a/grebeproxy/lab/subsets/command.py
+++ b/grebeproxy/lab/subsets/command.py
@@ -126,7 +126,7 @@
     "--json", "path", type=click.Path(dir_okay=False, path_type=Path), help="Where to write the record."
 )
 @click.pass_context
-def subsets(ctx: click.Context, **_: object) -> None:
+def subsets(ctx: click.Context, /, **_: object) -> None:
     """Simulate ways to give each router a subset of the engines."""
     options = Options(**ctx.params)
     schemes = [scheme for scheme in SCHEMES if not options.names or scheme.name in options.names]
