--- a/grebeproxy/lab/subsets/balance.py
+++ b/grebeproxy/lab/subsets/balance.py
@@ -2,10 +2,12 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import numpy as np
 
 from grebeproxy.lab.subsets.fleet import MAX_RELATIVE_TRAFFIC, Engines, Fleet, Integers, Routers
-from grebeproxy.lab.subsets.pairs import fleet_pairs, subset_pairs, zone_pairs
+from grebeproxy.lab.subsets.pairs import Pairs, fleet_pairs, subset_pairs, zone_pairs
 from grebeproxy.lab.subsets.schemes import Scheme
 from grebeproxy.lab.subsets.traffic import (
     Values,
@@ -19,12 +21,24 @@
 SharersBySize = Integers  # a row for each subset size from 0 on, with the sharers of each engine
 
 
+class Connections(NamedTuple):
+    """Connections, one for each pair, by engine of the list and by router."""
+
+    per_engine: Integers
+    per_router: Integers
+
+    @classmethod
+    def of(cls, pairs: Pairs, fleet: Fleet) -> Connections:
+        """The connections of these pairs."""
+        per_engine = pairs.sharers()[fleet.engines.number]
+        return cls(per_engine, np.bincount(pairs.router, minlength=len(fleet.routers)))
+
+
 def sharer_counts(scheme: Scheme, fleet: Fleet) -> Values:
     """Routers that share an engine, and connections, of the windows as they are used."""
     result: Values = {}
     for name, pairs in (("blind", fleet_pairs(scheme, fleet)), ("both", subset_pairs(scheme, fleet))):
-        sharers = pairs.sharers()[fleet.engines.number]
-        per_router = np.bincount(pairs.router, minlength=len(fleet.routers))
+        sharers, per_router = Connections.of(pairs, fleet)
         result |= {
             f"{name}.sharers_mean": float(sharers.mean()),
             f"{name}.sharers_max": float(sharers.max()),
@@ -43,8 +57,7 @@
     result: Values = {}
     for name, traffic in traffic_patterns(len(fleet.routers), rng).items():
         pairs = subset_pairs(scheme, fleet, traffic)
-        per_engine = pairs.sharers()[fleet.engines.number]
-        per_router = np.bincount(pairs.router, minlength=len(fleet.routers))
+        per_engine, per_router = Connections.of(pairs, fleet)
         result |= {
             f"connections.{name}_engine_mean": float(per_engine.mean()),
             f"connections.{name}_engine_max": float(per_engine.max()),
