--- a/grebeproxy/lab/control/fleet.py
+++ b/grebeproxy/lab/control/fleet.py
@@ -293,7 +293,7 @@
     """
     core.members.facts.update((fact.name, fact) for fact in facts if fact.name != core.config.member.name)
     core.members._stale = True  # the view is to be made anew
-    core.leases._votes_from = now
+    core.leases.voter.votes_from = now
 
 
 def copy_of(record: Record) -> Record:
--- a/grebeproxy/lab/control/handover.py
+++ b/grebeproxy/lab/control/handover.py
@@ -77,4 +77,4 @@
 
 
 def _promises(fleet: Fleet) -> list[Promise | None]:
-    return [process.node.leases._promises.get(DUTY.name) for process in fleet.processes.values()]
+    return [process.node.leases.promise(DUTY.name) for process in fleet.processes.values()]
--- a/grebeproxy/lab/scale/duty_target.py
+++ b/grebeproxy/lab/scale/duty_target.py
@@ -45,7 +45,7 @@
     async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         match (await reader.readline()).decode(errors="replace").split():
             case ["do", duty, ballot, holder] if ballot.isdecimal():
-                writer.write(self._answer(duty, (int(ballot), holder)))
+                writer.write(self._answer(duty, Token(int(ballot), holder)))
         writer.close()
 
     def _answer(self, duty: str, token: Token) -> bytes:
--- /dev/null
+++ b/grebeproxy/membership/lease/__init__.py
@@ -0,0 +1,64 @@
+"""Leases: the right to do what only one router may do, granted by a majority of the configured fleet.
+
+A candidate requests the votes of all members under a ballot. A voter that grants its vote promises to
+vote for nobody else until the lease's length has passed on the voter's own clock. The holder counts the
+same length from before it sent its requests, less ``DRIFT``: its lease therefore ends before any of its
+voters is free again, however long the messages took. The ballot and the holder's name are the fencing
+token. Any two majorities share a voter, and a voter grants no ballot below one that it has promised, so
+tokens grow from holder to holder.
+
+Assumptions: the clocks of two routers differ in rate by less than ``DRIFT``; each name runs as one
+process, or duplicate processes of a name hear of each other before either votes. Nothing is stored across
+a restart: a voter that starts, or that learns of a duplicate of itself, does not vote until every promise
+that an earlier or other process of its name may have given has expired.
+
+``Leases.step(now, events)`` is the whole interface; it returns effects and does no I/O. ``Fence`` belongs
+where the work that a lease protects takes effect.
+"""
+
+from grebeproxy.membership.lease.candidate import RENEW, RETRY, Claim
+from grebeproxy.membership.lease.config import DRIFT, MAX_BALLOT, MAX_LEASES, LeaseConfig
+from grebeproxy.membership.lease.fence import Fence
+from grebeproxy.membership.lease.leases import Leases
+from grebeproxy.membership.lease.messages import (
+    Effect,
+    Event,
+    LeaseAcquired,
+    LeaseLost,
+    LeaseWanted,
+    SendVote,
+    Token,
+    TokenRejected,
+    ViewUpdated,
+    Vote,
+    VoteKind,
+    VoteReceived,
+    Woken,
+)
+from grebeproxy.membership.lease.voter import Promise
+
+__all__ = [
+    "DRIFT",
+    "MAX_BALLOT",
+    "MAX_LEASES",
+    "RENEW",
+    "RETRY",
+    "Claim",
+    "Effect",
+    "Event",
+    "Fence",
+    "LeaseAcquired",
+    "LeaseConfig",
+    "LeaseLost",
+    "LeaseWanted",
+    "Leases",
+    "Promise",
+    "SendVote",
+    "Token",
+    "TokenRejected",
+    "ViewUpdated",
+    "Vote",
+    "VoteKind",
+    "VoteReceived",
+    "Woken",
+]
--- /dev/null
+++ b/grebeproxy/membership/lease/candidate.py
@@ -0,0 +1,165 @@
+"""The candidate's and holder's side of leases: requesting votes, counting them, renewing and releasing."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from grebeproxy.membership.lease.config import DRIFT, MAX_BALLOT, MAX_LEASES, LeaseContext
+from grebeproxy.membership.lease.messages import LeaseAcquired, LeaseLost, Token, Vote, VoteKind
+from grebeproxy.membership.lease.voter import Voter
+
+RENEW = 0.3  # fraction of a lease's length after which its holder requests the votes again
+RETRY = 0.1  # fraction of a lease's length after which votes are requested again without a majority
+# Retries are spread over this many times ``RETRY``: so candidates that split the votes do not meet again.
+RETRY_SPREAD = 1.0
+SPLIT_VOTE_SPREAD = 4.0
+REQUEST_NUMBER_BITS = 50
+
+
+@dataclass(slots=True)
+class Claim:
+    """The state of one lease that this router wants. Times are on its own clock."""
+
+    ballot: int = 0
+    request_number: int = 0  # of the requests that wait for answers, 0 for none
+    requested_at: float = 0.0
+    grants: set[str] = field(default_factory=set)  # voters that granted the latest request
+    denials: set[str] = field(default_factory=set)
+    held_until: float = 0.0
+    next_request_at: float = 0.0
+    token: Token | None = None  # while the lease is held
+
+
+class Candidate:
+    """Acquires and renews the leases that this router wants.
+
+    ``send`` delivers a vote message to a member, which may be this router itself.
+    """
+
+    def __init__(self, context: LeaseContext, voter: Voter, send: Callable[[str, Vote], None]) -> None:
+        self._context = context
+        self._voter = voter
+        self._send = send
+        self._claims: dict[str, Claim] = {}
+        # Begins at random, so answers to an earlier process of this name match no request of this one.
+        self._request_number = context.rng.getrandbits(REQUEST_NUMBER_BITS)
+
+    def token(self, lease: str, now: float) -> Token | None:
+        """The token of a lease that is held at this moment."""
+        claim = self._claims.get(lease)
+        return claim.token if claim is not None and now < claim.held_until else None
+
+    def want(self, lease: str, wanted: bool) -> None:
+        """Begin to claim a lease, or release it."""
+        claim = self._claims.get(lease)
+        if wanted and claim is None and len(self._claims) < MAX_LEASES:
+            self._claims[lease] = Claim(next_request_at=self._context.now)
+        elif not wanted and claim is not None:
+            self._release(lease, claim)
+            del self._claims[lease]
+
+    def on_token_rejected(self, lease: str, token: Token) -> None:
+        """Begin again above a token that was seen where the lease's work takes effect."""
+        claim = self._claims.get(lease)
+        if claim is None:
+            return
+        claim.ballot = max(claim.ballot, min(token[0], MAX_BALLOT))
+        self._release(lease, claim)
+        claim.next_request_at = self._context.now
+
+    def on_grant(self, vote: Vote, voter: str) -> None:
+        """Count a granted vote if it answers the latest request."""
+        claim = self._claims.get(vote.lease)
+        if claim is None:
+            return
+        if (vote.request_number, vote.ballot) == (claim.request_number, claim.ballot):
+            self._count_grant(vote.lease, claim, voter)
+
+    def on_deny(self, vote: Vote, voter: str) -> None:
+        """Count a denied vote. Votes that cannot become a majority any more are released for others."""
+        claim = self._claims.get(vote.lease)
+        if claim is None or vote.request_number != claim.request_number or claim.token is not None:
+            return
+        claim.denials.add(voter)
+        if 2 * len(claim.denials) >= self._context.config.fleet:
+            self._release(vote.lease, claim)
+            claim.next_request_at = self._retry_at(SPLIT_VOTE_SPREAD)
+        claim.ballot = max(claim.ballot, min(vote.ballot, MAX_BALLOT))
+
+    def advance(self) -> None:
+        """End the leases whose time is over, and send the requests that are due."""
+        now = self._context.now
+        for lease, claim in self._claims.items():
+            if claim.token is not None and now >= claim.held_until:
+                claim.token = None
+                self._context.effects.append(LeaseLost(lease))
+            if now >= claim.next_request_at:
+                self._request_votes(lease, claim)
+
+    def next_due(self) -> float | None:
+        """When ``advance`` has something to do next."""
+        times = [claim.next_request_at for claim in self._claims.values()]
+        times += [claim.held_until for claim in self._claims.values() if claim.token is not None]
+        return min(times, default=None)
+
+    def _release(self, lease: str, claim: Claim) -> None:
+        if claim.token is not None:
+            claim.token = None
+            claim.held_until = 0.0
+            self._context.effects.append(LeaseLost(lease))
+        for name in self._context.view.members:
+            self._send(name, Vote(VoteKind.RELEASE, lease, claim.ballot))
+        claim.request_number = 0
+
+    def _request_votes(self, lease: str, claim: Claim) -> None:
+        """Request all votes: under the same ballot to renew, else under a higher one."""
+        claim.next_request_at = self._retry_at(RETRY_SPREAD)
+        if not self._context.view.quorate:
+            return
+        if claim.token is None and not self._raise_ballot(lease, claim):
+            return
+        self._request_number += 1
+        claim.request_number = self._request_number
+        claim.requested_at = self._context.now
+        claim.grants = set()
+        claim.denials = set()
+        for name in self._context.view.members:
+            self._send(name, Vote(VoteKind.REQUEST, lease, claim.ballot, claim.request_number))
+
+    def _raise_ballot(self, lease: str, claim: Claim) -> bool:
+        """Choose the ballot of a new candidacy. False if this is not the time for one."""
+        if claim.request_number:
+            # The last request found no majority. Two candidates that each kept and renewed a part of the
+            # votes would block each other forever, so the votes are released first.
+            self._release(lease, claim)
+            claim.next_request_at = self._retry_at(SPLIT_VOTE_SPREAD)
+            return False
+        context = self._context
+        promise = self._voter.promise(lease)
+        if promise is None:
+            claim.ballot += 1
+            return True
+        if context.now < promise.until and promise.holder != context.config.name:
+            jitter = context.config.length * RETRY * context.rng.random()
+            claim.next_request_at = promise.until + jitter
+            return False
+        claim.ballot = max(claim.ballot, promise.ballot) + 1
+        return True
+
+    def _count_grant(self, lease: str, claim: Claim, voter: str) -> None:
+        config = self._context.config
+        claim.grants.add(voter)
+        if 2 * len(claim.grants) <= config.fleet:
+            return
+        claim.held_until = max(claim.held_until, claim.requested_at + config.length * (1.0 - DRIFT))
+        if self._context.now >= claim.held_until:
+            return  # the answers took longer than the votes last
+        claim.next_request_at = max(self._context.now, claim.requested_at + config.length * RENEW)
+        if claim.token is None:
+            claim.token = Token(claim.ballot, config.name)
+            self._context.effects.append(LeaseAcquired(lease, claim.token))
+
+    def _retry_at(self, spread: float) -> float:
+        context = self._context
+        return context.now + context.config.length * RETRY * (1.0 + spread * context.rng.random())
--- /dev/null
+++ b/grebeproxy/membership/lease/voter.py
@@ -0,0 +1,72 @@
+"""The voter's side of leases: promises, and the answers to requests for votes."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+
+from grebeproxy.membership.lease.config import DRIFT, MAX_BALLOT, MAX_LEASES, LeaseContext
+from grebeproxy.membership.lease.messages import Vote, VoteKind, VoteReceived
+
+# Lease lengths for which a promise's ballot is remembered after the promise has expired.
+PROMISE_RETENTION = 100
+
+
+@dataclass(slots=True)
+class Promise:
+    """The vote that was granted for one lease: to which process, and until when."""
+
+    ballot: int = 0
+    holder: str = ""
+    instance: int = 0
+    until: float = 0.0
+
+
+class Voter:
+    """Grants at most one vote for each lease at a time."""
+
+    def __init__(self, context: LeaseContext) -> None:
+        self._context = context
+        self._promises: dict[str, Promise] = {}
+        self.votes_from = 0.0  # no vote is granted before this time
+        self.suspend()  # an earlier process of this name may have given promises just before it ended
+
+    def promise(self, lease: str) -> Promise | None:
+        """The latest promise for a lease, which may have expired."""
+        return self._promises.get(lease)
+
+    def suspend(self) -> None:
+        """Grant no vote until all promises of other processes of this name have expired."""
+        self.votes_from = self._context.now + self._context.config.length * (1.0 + DRIFT)
+
+    def answer(self, event: VoteReceived) -> Vote:
+        """Grant a request, or deny it with the ballot that has to be exceeded."""
+        vote = event.vote
+        now = self._context.now
+        if not 0 < vote.ballot <= MAX_BALLOT:
+            return replace(vote, kind=VoteKind.DENY, ballot=0)
+        promise = self._promises.get(vote.lease, Promise())
+        same_holder = promise.instance == event.instance and promise.holder == event.sender
+        free = now >= promise.until and vote.ballot > promise.ballot
+        renews = same_holder and vote.ballot >= promise.ballot
+        full = vote.lease not in self._promises and len(self._promises) >= MAX_LEASES
+        if now < self.votes_from or full or not (free or renews):
+            return replace(vote, kind=VoteKind.DENY, ballot=promise.ballot)
+        until = now + self._context.config.length
+        self._promises[vote.lease] = Promise(vote.ballot, event.sender, event.instance, until)
+        return replace(vote, kind=VoteKind.GRANT)
+
+    def release(self, event: VoteReceived) -> None:
+        """End a promise whose holder does not need it any longer."""
+        promise = self._promises.get(event.vote.lease)
+        if promise is None or promise.instance != event.instance:
+            return
+        if promise.ballot <= event.vote.ballot:
+            promise.until = min(promise.until, self._context.now)
+
+    def forget_old_promises(self) -> None:
+        """Bound the memory: ballots are remembered long after their lease ended, but not forever."""
+        retention = PROMISE_RETENTION * self._context.config.length
+        now = self._context.now
+        self._promises = {
+            lease: promise for lease, promise in self._promises.items() if now <= promise.until + retention
+        }
--- a/grebeproxy/peers/node.py
+++ b/grebeproxy/peers/node.py
@@ -14,7 +14,7 @@
 from grebeproxy import membership
 from grebeproxy.errors import GrebeproxyError
 from grebeproxy.membership import lease, wire
-from grebeproxy.membership.lease import Leases, Token, Vote, VoteKind
+from grebeproxy.membership.lease import LeaseConfig, Leases, Token, Vote, VoteKind
 from grebeproxy.membership.model import Address, View
 from grebeproxy.peers.operator_file import PeersConfig
 from grebeproxy.replica import Changed, Delta, Digest, MessageReceived, Limits, Members, Send, Store, Woken
@@ -111,7 +111,7 @@
         self.config, self.instance = config, instance
         member = config.member
         self.members = membership.Membership(member, instance, rng, now)
-        self.leases = Leases(member.name, instance, member.fleet, config.lease, rng, now)
+        self.leases = Leases(LeaseConfig(member.name, instance, member.fleet, config.lease), rng, now)
         self.store = Store(member.name, limits or Limits(), rng, now)
         self.ended = False
         self.rejected = 0  # payloads that could not be read
@@ -229,14 +229,14 @@
                     self._give_up_duties(now)
                     self.ended = True
         if self.members.outbids > outbids:
-            self._step_leases(now, lease.ViewUpdated(self.view, twin=True))
+            self._step_leases(now, lease.ViewUpdated(self.view, duplicate=True))
 
     def _step_leases(self, now: float, *events: lease.Event) -> None:
         for effect in self.leases.step(now, events):
             match effect:
                 case lease.SendVote(to, vote):
                     if (fact := self.members.facts.get(to)) is not None:
-                        fields = [int(vote.kind), vote.lease, vote.ballot, vote.asked]
+                        fields = [int(vote.kind), vote.lease, vote.ballot, vote.request_number]
                         voted = [VOTE, self.config.member.name, self.instance, fields]
                         self._effects.append(Datagram(fact.address, voted))
                 case lease.LeaseAcquired(what, token):
--- a/grebeproxy/peers/runtime.py
+++ b/grebeproxy/peers/runtime.py
@@ -168,5 +168,5 @@
         case ["ACK", *_]:
             return None
         case ["NAK", ballot, lease_holder] if ballot.isdecimal() and len(ballot) <= MAX_BALLOT_DIGITS:
-            return int(ballot), lease_holder
+            return Token(int(ballot), lease_holder)
     raise DutyAnswerError(f"not an answer: {line[:40]!r}")
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -94,7 +94,7 @@
         """A duty takes effect here, or is refused."""
         match (await reader.readline()).decode().split():
             case ["do", duty, ballot, holder]:
-                token = (int(ballot), holder)
+                token = Token(int(ballot), holder)
                 if self.fence.admit(duty, token):
                     self.effects.append((time.monotonic(), token))
                     writer.write(b"ACK\n")
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -10,7 +10,18 @@
 from voters import LEASE, LENGTH, Voters
 
 from grebeproxy.membership import lease as leases
-from grebeproxy.membership.lease import Claim, Fence, Leases, Vote, VoteReceived, VoteKind
+from grebeproxy.membership.lease import (
+    Claim,
+    Fence,
+    LeaseConfig,
+    Leases,
+    Token,
+    Vote,
+    VoteKind,
+    VoteReceived,
+)
+from grebeproxy.membership.lease.candidate import Candidate
+from grebeproxy.membership.lease.voter import Voter
 
 SEEDS = range(150)
 
@@ -58,41 +69,41 @@
 
 def mutants() -> list[tuple[str, Any, str, Any]]:
     """Each rule that keeps it safe, taken away."""
-    answer = Leases._answer
+    answer = Voter.answer
 
-    def counts_from_the_answer(self: Leases, lease: str, claim: Claim, voter: str) -> None:
-        claim.asked_at = self.now
-        COUNTED(self, lease, claim, voter)
+    def counts_from_the_answer(self: Candidate, lease: str, claim: Claim, voter: str) -> None:
+        claim.requested_at = self._context.now
+        COUNT_GRANT(self, lease, claim, voter)
 
-    def votes_at_once(self: Leases, event: VoteReceived) -> Vote:
-        self._votes_from = 0.0
+    def votes_at_once(self: Voter, event: VoteReceived) -> Vote:
+        self.votes_from = 0.0
         return answer(self, event)
 
-    def votes_twice(self: Leases, event: VoteReceived) -> Vote:
+    def votes_twice(self: Voter, event: VoteReceived) -> Vote:
         self._promises.pop(event.vote.lease, None)
         return answer(self, event)
 
-    def takes_any_answer(self: Leases, event: VoteReceived) -> None:
-        claim = self._claims.get(event.vote.lease)
-        if event.vote.kind is VoteKind.GRANT and claim is not None:
-            event = replace(event, vote=replace(event.vote, asked=claim.asked, ballot=claim.ballot))
-        HEARD(self, event)
+    def takes_any_answer(self: Candidate, vote: Vote, voter: str) -> None:
+        claim = self._claims.get(vote.lease)
+        if claim is not None:
+            vote = replace(vote, request_number=claim.request_number, ballot=claim.ballot)
+        ON_GRANT(self, vote, voter)
 
-    def holds_on(self: Leases, lease: str, now: float) -> Any:
+    def holds_on(self: Candidate, lease: str, now: float) -> Any:
         claim = self._claims.get(lease)
         return claim.token if claim is not None else None
 
     return [
-        ("counts from the answer", Leases, "_on_granted", counts_from_the_answer),
-        ("votes right after its start", Leases, "_answer", votes_at_once),
-        ("votes for two", Leases, "_answer", votes_twice),
-        ("takes answers to an earlier asking", Leases, "_on_vote", takes_any_answer),
-        ("does not look at the clock before it acts", Leases, "token", holds_on),
+        ("counts from the answer", Candidate, "_count_grant", counts_from_the_answer),
+        ("votes right after its start", Voter, "answer", votes_at_once),
+        ("votes for two", Voter, "answer", votes_twice),
+        ("takes answers to an earlier request", Candidate, "on_grant", takes_any_answer),
+        ("does not look at the clock before it acts", Candidate, "token", holds_on),
         ("the fence admits all", Fence, "admit", lambda self, lease, token: True),
     ]
 
 
-COUNTED, HEARD = Leases._on_granted, Leases._on_vote
+COUNT_GRANT, ON_GRANT = Candidate._count_grant, Candidate.on_grant
 
 
 @pytest.mark.parametrize("mutant", mutants(), ids=lambda mutant: mutant[0])
@@ -106,7 +117,7 @@
 
 def test_a_token_that_is_too_low_where_it_takes_effect_is_raised() -> None:
     voters = Voters(1, 3)
-    voters.fence.admit(LEASE, (1000, "n9"))  # all have restarted since, and remember nothing
+    voters.fence.admit(LEASE, Token(1000, "n9"))  # all have restarted since, and remember nothing
     voters.run(6 * LENGTH)
     assert voters.acts and voters.acts[0][2][0] > 1000 and voters.refused
 
@@ -122,16 +133,16 @@
 
 @pytest.mark.parametrize("ballot", [-1, 0, 2**60])
 def test_a_ballot_that_cannot_be_gets_no_vote(ballot: int) -> None:
-    vote = Vote(VoteKind.ASK, "x", ballot)
-    voter = Leases("n0", 1, 3, LENGTH, Random(1), -100.0)
+    vote = Vote(VoteKind.REQUEST, "x", ballot)
+    voter = Leases(LeaseConfig("n0", 1, 3, LENGTH), Random(1), -100.0)
     [told] = voter.step(0.0, [VoteReceived("n1", 2, vote)])
     assert isinstance(told, leases.SendVote) and told.vote == replace(vote, kind=VoteKind.DENY, ballot=0)
 
 
 def test_leases_that_are_asked_for_are_bounded() -> None:
-    voter = Leases("n0", 1, 3, LENGTH, Random(1), -100.0)
+    voter = Leases(LeaseConfig("n0", 1, 3, LENGTH), Random(1), -100.0)
     for number in range(500):
-        voter.step(0.0, [VoteReceived("n1", 2, Vote(VoteKind.ASK, f"x{number}", 1))])
-    assert len(voter._promises) == leases.MAX_LEASES
+        voter.step(0.0, [VoteReceived("n1", 2, Vote(VoteKind.REQUEST, f"x{number}", 1))])
+    assert len(voter.voter._promises) == leases.MAX_LEASES
     voter.step(1000.0, [])
-    assert not voter._promises
+    assert not voter.voter._promises
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -158,8 +158,8 @@
     one = node()
     other = Fact("n2", ("127.0.0.1", 7947), 9, 0, State.ALIVE)
     one.step(1.0, [PayloadReceived([1, packed(Message(Kind.GOSSIP, other))])])
-    ask = Vote(VoteKind.ASK, "nightly", 3, 1)
-    fields = [int(ask.kind), ask.lease, ask.ballot, ask.asked]
+    ask = Vote(VoteKind.REQUEST, "nightly", 3, 1)
+    fields = [int(ask.kind), ask.lease, ask.ballot, ask.request_number]
 
     def answers(instance: int) -> list[tuple[str, int]]:
         effects = one.step(10.0, [PayloadReceived([2, "n2", instance, fields])])
--- a/tests/voters.py
+++ b/tests/voters.py
@@ -13,6 +13,7 @@
     Event,
     Fence,
     LeaseAcquired,
+    LeaseConfig,
     Leases,
     LeaseLost,
     TokenRejected,
@@ -61,7 +62,8 @@
 
     def made(self, n: int) -> Leases:
         instance = self.rng.getrandbits(60)
-        return Leases(f"n{n}", instance, self.n, LENGTH, Random(instance), self.clock(n, self.now))
+        config = LeaseConfig(f"n{n}", instance, self.n, LENGTH)
+        return Leases(config, Random(instance), self.clock(n, self.now))
 
     def begin(self, n: int) -> None:
         self.do(n, LeaseWanted(LEASE), ViewUpdated(self.view(n)))
