--- a/grebeproxy/lab/control/fleet.py
+++ b/grebeproxy/lab/control/fleet.py
@@ -292,7 +292,7 @@
     Sets what no message can: through messages all of it would be news, to be passed on.
     """
     core.members.facts.update((fact.name, fact) for fact in facts if fact.name != core.config.member.name)
-    core.members._stale = True  # the view is to be made anew
+    core.members.table.changed = True  # the view is to be computed anew
     core.leases.voter.votes_from = now
 
 
--- a/grebeproxy/lab/control/membership.py
+++ b/grebeproxy/lab/control/membership.py
@@ -84,7 +84,7 @@
 ) -> dict[str, float]:
     """What a start costs the router itself, and each other one beyond what it uses when quiet."""
     joiner = fleet.processes[router]
-    fleet.run_until(lambda: not len(joiner.node.members._gossip_queue), MOST_SECONDS)
+    fleet.run_until(lambda: not len(joiner.node.members.gossip_queue), MOST_SECONDS)
     seconds = fleet.now - started
     own = joiner.account.total(KINDS)
     others = [other for other in range(fleet.size) if other != router]
--- a/grebeproxy/lab/control/memory.py
+++ b/grebeproxy/lab/control/memory.py
@@ -42,7 +42,7 @@
         for payload in payloads:
             core.step(NOW, [node.PayloadReceived(payload)])
         core._effects.clear()
-        core.members._effects, core.store._effects = [], []
+        core.members._context.effects, core.store._effects = [], []
         del payloads, senders
         after, _ = tracemalloc.get_traced_memory()
     finally:
--- a/grebeproxy/membership/__init__.py
+++ b/grebeproxy/membership/__init__.py
@@ -1,4 +1,7 @@
-"""Who is there, who has failed, and what each may do while they disagree. I/O-free."""
+"""Which routers take part, which have failed, and which of them may act while their views differ.
+
+``Membership`` is a reducer without I/O: ``step(now, events)`` returns the effects to carry out.
+"""
 
 from grebeproxy.membership.model import (
     Condition,
@@ -10,6 +13,7 @@
     Message,
     MessageReceived,
     Notice,
+    NoticeKind,
     Send,
     View,
     ViewChanged,
@@ -30,6 +34,7 @@
     "Message",
     "MessageReceived",
     "Notice",
+    "NoticeKind",
     "Send",
     "View",
     "ViewChanged",
--- a/grebeproxy/membership/model.py
+++ b/grebeproxy/membership/model.py
@@ -1,9 +1,12 @@
-"""What routers send about each other, as plain values. Times are seconds on the local monotonic clock."""
+"""Facts, messages, views, events and effects of membership.
+
+All times are seconds on the local monotonic clock.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from enum import Enum, IntEnum
+from enum import Enum, IntEnum, StrEnum
 from typing import Union
 
 from grebeproxy.errors import GrebeproxyError
@@ -12,7 +15,7 @@
 
 MAX_NAME_BYTES = 32  # longest name, encoded, that the codec carries
 MAX_SECONDS = 3600.0  # every configured time lies below this
-MAX_HELPERS = 16  # members asked at most to ping a target on one's behalf
+MAX_HELPERS = 16  # members that are sent a ping-req for one probe, at most
 
 
 class MembershipError(GrebeproxyError):
@@ -20,14 +23,14 @@
 
 
 class InvalidSettingError(MembershipError, ValueError):
-    """A setting of membership or leases that cannot be meant; the text names the field and its bounds.
+    """A setting of membership or leases is out of its bounds; the text names the field and the bounds.
 
-    It is a ``ValueError`` too, so callers that catch that go on catching it.
+    It derives from ``ValueError`` too, for callers that catch that.
     """
 
 
 class State(IntEnum):
-    """What is held of a member. The higher one counts where all else is equal."""
+    """The state of a member. Of two facts that are otherwise equal the one of the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -37,10 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fact:
-    """One statement on a member.
+    """A statement about one member.
 
-    ``instance`` tells processes of one name apart; only the member itself raises its ``incarnation``, to
-    refute what others hold of it. ``by`` is who came to suspect it.
+    ``instance`` is a random number that tells processes of one name apart. Only the member itself raises its
+    ``incarnation``, to refute what others hold of it. ``suspected_by`` names the member that suspects it.
     """
 
     name: str
@@ -48,59 +51,59 @@
     instance: int
     incarnation: int
     state: State
-    by: str = ""
+    suspected_by: str = ""
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Of two facts on one name the one of higher rank counts, so merging is the same in any order."""
+        """Of two facts on one name the one of higher rank wins, so the order of merging does not matter."""
         return self.incarnation, self.instance, int(self.state)
 
 
 class Kind(IntEnum):
-    """What a message is for."""
+    """What a message is for. The values are those on the wire."""
 
-    PING = 1  # are you there?
-    ACK = 2  # yes, under the same number
-    ASK = 3  # ping ``target`` for me
-    NACK = 4  # I am there, but had no answer from it
-    GOSSIP = 5  # only facts
-    SYNC = 6  # my digest; if yours differs, send me all your facts, and your digest
-    DIGEST = 7  # the answer's end: if yours still differs, send me all of yours
+    PING = 1  # to be answered with an ack of the same number
+    ACK = 2  # answers a ping, or a ping-req whose target answered
+    PING_REQ = 3  # requests a ping of ``target``
+    NACK = 4  # answers a ping-req whose target did not answer
+    GOSSIP = 5  # carries facts alone
+    SYNC = 6  # begins a full exchange: answered with all facts and a digest if ``digest`` differs
+    DIGEST = 7  # ends that answer: answered with all facts if ``digest`` still differs
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One datagram. ``sender`` is the fact of the one who sends it, with the address where it is reached."""
+    """One datagram. ``sender`` is the sender's fact about itself, with the address at which it is reached."""
 
     kind: Kind
     sender: Fact
-    number: int = 0
+    number: int = 0  # tells to which ping or ping-req an answer belongs
     target: str = ""
     digest: int = 0
     facts: tuple[Fact, ...] = ()
 
 
 class Condition(Enum):
-    """What a view allows; the order is that of what may be done."""
+    """How far a view may be acted on, from least to most."""
 
-    ALONE = "alone"  # nobody else is known to be there, or this process has just woken
-    MINORITY = "minority"  # half of the configured fleet or fewer, or this process distrusts itself
+    ALONE = "alone"  # no other member is known to run, or this process was paused just now
+    MINORITY = "minority"  # half of the configured fleet or fewer, or a bad health score
     QUORATE = "quorate"  # more than half of the configured fleet
-    SETTLED = "settled"  # that, nobody suspected, and unchanged for some time
+    SETTLED = "settled"  # quorate, with nobody suspected and no change for ``Config.settle``
 
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """Who is there as seen from here. ``epoch`` grows with every change of the members or the condition."""
+    """The members as seen from here. ``epoch`` grows with each change of the members or the condition."""
 
     epoch: int
-    members: tuple[str, ...]  # names, sorted, this one among them
+    members: tuple[str, ...]  # sorted names, this router's included
     condition: Condition
-    since: float  # when the condition became what it is
+    since: float  # when the condition last changed
 
     @property
     def quorate(self) -> bool:
-        """More than half of the configured fleet is there."""
+        """Whether more than half of the configured fleet takes part."""
         return self.condition in (Condition.QUORATE, Condition.SETTLED)
 
 
@@ -109,19 +112,19 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message that came, checked by the codec."""
+    """A message arrived and was checked by the codec."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Woken:
-    """The time asked for with ``Wake`` has come."""
+    """The time requested with ``Wake`` has come."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveRequested:
-    """This router is to end, and to send that it does."""
+    """This router shuts down and is to tell the others."""
 
 
 Event = Union[MessageReceived, Woken, LeaveRequested]
@@ -140,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wake:
-    """Send ``Woken`` at that time; replaces an earlier ``Wake``."""
+    """Deliver ``Woken`` at that time. Replaces an earlier ``Wake``."""
 
     at: float
 
@@ -152,17 +155,28 @@
     view: View
 
 
+class NoticeKind(StrEnum):
+    """What happened to a member. The values appear in the log."""
+
+    JOINED = "joined"
+    RESTARTED = "restarted"  # another process of the name took over
+    LEFT = "left"
+    FAILED = "failed"
+    PAUSED = "paused"  # this process did not run for some seconds
+    DISPLACED = "displaced"  # this process yields its name to another one
+
+
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """Something that operators may want to know: what happened, and to which member."""
+    """An event for the operators, and the member that it is about."""
 
-    event: str
+    kind: NoticeKind
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class Displaced:
-    """Another process of this name is there and goes on; this one has to send nothing more."""
+    """Another process of this router's name goes on instead: this one must send nothing more."""
 
 
 Effect = Union[Send, Wake, ViewChanged, Notice, Displaced]
@@ -170,22 +184,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """How one router takes part. Times in seconds.
+    """The settings of one router. Times are in seconds.
 
-    Raises ``InvalidSettingError`` (a ``ValueError``) naming the field where a value cannot be meant.
+    Raises ``InvalidSettingError`` (a ``ValueError``), which names the field, for a value out of its bounds.
     """
 
     name: str
-    address: Address  # where the others reach it
-    fleet: int  # routers that are configured: more than half of these are a quorum
+    address: Address  # at which the others reach it
+    fleet: int  # configured routers: more than half of them are a quorum
     seeds: tuple[Address, ...] = ()
     period: float = 0.5  # between probes
-    timeout: float = 0.15  # for a direct answer
-    helpers: int = 3  # that are asked to probe where it does not come
-    settle: float = 3.0  # without change, until a view counts as settled
+    timeout: float = 0.15  # of a direct ping
+    helpers: int = 3  # members that are sent a ping-req after that timeout
+    settle: float = 3.0  # without a change until a view counts as settled
 
     def __post_init__(self) -> None:
-        """Refuse what cannot be meant."""
+        """Check all bounds."""
         if not 1 <= len(self.name.encode()) <= MAX_NAME_BYTES:
             raise InvalidSettingError(f"name: must have 1 to {MAX_NAME_BYTES} bytes")
         if self.fleet < 1:
--- a/grebeproxy/membership/wire.py
+++ b/grebeproxy/membership/wire.py
@@ -135,7 +135,7 @@
 
 
 def _packed_fact(fact: Fact) -> list[object]:
-    return [fact.name, *fact.address, fact.instance, fact.incarnation, int(fact.state), fact.by]
+    return [fact.name, *fact.address, fact.instance, fact.incarnation, int(fact.state), fact.suspected_by]
 
 
 def _fact(fields: Any) -> Fact:
--- a/grebeproxy/peers/node.py
+++ b/grebeproxy/peers/node.py
@@ -205,7 +205,7 @@
     # --- the parts
 
     def _step_membership(self, now: float, *events: membership.Event) -> None:
-        outbids = self.members.outbids
+        conflicts = self.members.name_conflicts
         for effect in self.members.step(now, events):
             match effect:
                 case membership.Send(to, message):
@@ -228,7 +228,7 @@
                 case membership.Displaced():
                     self._give_up_duties(now)
                     self.ended = True
-        if self.members.outbids > outbids:
+        if self.members.name_conflicts > conflicts:
             self._step_leases(now, lease.ViewUpdated(self.view, duplicate=True))
 
     def _step_leases(self, now: float, *events: lease.Event) -> None:
--- a/tests/test_peers_lab.py
+++ b/tests/test_peers_lab.py
@@ -43,7 +43,7 @@
     lab.until(lambda: lab.agree(rest), 30.0)
     lab.signal(signal.SIGCONT, first)  # later than every time-out
     lab.until(lambda: lab.agree(list(range(n))), 30.0)
-    assert any(line.get("what") == "stood still" for line in lab.lines(first))
+    assert any(line.get("what") == "paused" for line in lab.lines(first))
     lab.acts_on(15.0)
     second = int(lab.effects[-1][1][1][1:])
     lab.kill(second)
