--- a/grebeproxy/lab/scale/duty_target.py
+++ b/grebeproxy/lab/scale/duty_target.py
@@ -49,7 +49,7 @@
             line = await reader.readline()
             match line.decode(errors="replace").split():
                 case ["do", duty, ballot, lease_holder] if ballot.isdecimal():
-                    writer.write(self._answer(duty, (int(ballot), lease_holder)))
+                    writer.write(self._answer(duty, Token(int(ballot), lease_holder)))
 
     def _answer(self, duty: str, token: Token) -> bytes:
         if not self._fence.admit(duty, token):
