--- a/grebeproxy/peers/duty_client.py
+++ b/grebeproxy/peers/duty_client.py
@@ -58,5 +58,5 @@
         case ["ACK", *_]:
             return None
         case ["NAK", ballot, holder] if ballot.isdecimal() and len(ballot) <= MAX_BALLOT_DIGITS:
-            return int(ballot), holder
+            return Token(int(ballot), holder)
     raise DutyAnswerError(f"not an answer: {line[:MAX_LOGGED_ANSWER]!r}")
--- a/grebeproxy/peers/duty_leases.py
+++ b/grebeproxy/peers/duty_leases.py
@@ -6,7 +6,7 @@
 
 from grebeproxy import membership
 from grebeproxy.membership import lease
-from grebeproxy.membership.lease import Leases
+from grebeproxy.membership.lease import LeaseConfig, Leases
 from grebeproxy.peers.interface import Datagram, Effect, StartDuty, StopDuty, log_event
 from grebeproxy.peers.operator_file import PeersConfig
 from grebeproxy.peers.payloads import pack_vote
@@ -21,7 +21,8 @@
         self, config: PeersConfig, instance: int, members: membership.Membership, rng: Random, now: float
     ) -> None:
         member = config.member
-        self.leases = Leases(member.name, instance, member.fleet, config.lease, rng, now)
+        lease_config = LeaseConfig(member.name, instance, member.fleet, config.lease)
+        self.leases = Leases(lease_config, rng, now)
         self.wake_at = now
         self._name = member.name
         self._instance = instance
--- a/grebeproxy/peers/node.py
+++ b/grebeproxy/peers/node.py
@@ -179,23 +179,22 @@
     # --- the parts
 
     def _step_membership(self, now: float, *events: membership.Event) -> None:
-        outbids = self.members.outbids
+        conflicts = self.members.name_conflicts
         for effect in self.members.step(now, events):
             match effect:
                 case membership.Send(to, message):
                     self._effects.append(Datagram(to, pack_member(message)))
                 case membership.Wake(at):
                     self._membership_wake_at = at
-                case membership.Notice(event, name):
-                    log_name = f"peers.member.{event.replace(' ', '_')}"
-                    self._effects.append(log_event(log_name, name=name))
+                case membership.Notice(kind, name):
+                    self._effects.append(log_event(f"peers.member.{kind}", name=name))
                 case membership.ViewChanged(view):
                     self._on_view(now, view)
                 case membership.Displaced():
                     self._effects += self._duty_leases.release_all(now)
                     self.ended = True
-        if self.members.outbids > outbids:
-            self._step_leases(now, lease.ViewUpdated(self.view, twin=True))
+        if self.members.name_conflicts > conflicts:
+            self._step_leases(now, lease.ViewUpdated(self.view, duplicate=True))
 
     def _on_view(self, now: float, view: View) -> None:
         self._effects.append(
--- a/grebeproxy/peers/payloads.py
+++ b/grebeproxy/peers/payloads.py
@@ -1,7 +1,7 @@
 """The codec of payloads: what a datagram's body carries, as the lists that MessagePack writes.
 
     [MEMBER, message]                                              a message of ``grebeproxy.membership``
-    [VOTE, sender, instance, [kind, lease, ballot, asked]]
+    [VOTE, sender, instance, [kind, lease, ballot, request number]]
     [DIGEST, sender, [[origin, generation, nonce, top], ...], complete, requests_newer]
     [DELTA, sender, origin, generation, nonce, base, top, age, [[key, number, value], ...]]
 
@@ -45,7 +45,7 @@
 
 def pack_vote(sender: str, instance: int, vote: Vote) -> Payload:
     """The payload of a message on a lease."""
-    return [VOTE, sender, instance, [int(vote.kind), vote.lease, vote.ballot, vote.asked]]
+    return [VOTE, sender, instance, [int(vote.kind), vote.lease, vote.ballot, vote.request_number]]
 
 
 def pack_replica(sender: str, message: Digest | Delta) -> Payload:
@@ -79,8 +79,8 @@
 
 
 def _unpack_vote(fields: Any) -> Vote:
-    kind, lease, ballot, asked = fields[:4]
-    return Vote(VoteKind(kind), _text(lease), _natural(ballot), _natural(asked))
+    kind, lease, ballot, request_number = fields[:4]
+    return Vote(VoteKind(kind), _text(lease), _natural(ballot), _natural(request_number))
 
 
 def _unpack_digest(fields: Any) -> Digest:
--- a/tests/lab.py
+++ b/tests/lab.py
@@ -95,7 +95,7 @@
         """Answer one report: the duty takes effect, or the report is rejected."""
         match (await reader.readline()).decode().split():
             case ["do", duty, ballot, holder]:
-                token = (int(ballot), holder)
+                token = Token(int(ballot), holder)
                 if self.fence.admit(duty, token):
                     self.effects.append((time.monotonic(), token))
                     writer.write(b"ACK\n")
--- a/tests/test_peers_duties.py
+++ b/tests/test_peers_duties.py
@@ -14,7 +14,7 @@
 from grebeproxy.peers.event_log import MAX_EVENTS_PER_SECOND, EventLog
 from grebeproxy.peers.operator_file import Duty
 
-TOKEN = (7, "n1")
+TOKEN = Token(7, "n1")
 
 
 class Receiver:
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "higher"), [(b"ACK\n", None), (b"ACK done\n", None), (b"NAK 9 n2\n", (9, "n2"))]
+    ("answer", "higher"), [(b"ACK\n", None), (b"ACK done\n", None), (b"NAK 9 n2\n", Token(9, "n2"))]
 )
 def test_an_answer_is_an_acknowledgement_or_the_higher_token(answer: bytes, higher: Token | None) -> None:
     async def test(duty: Duty, receiver: Receiver) -> None:
@@ -81,7 +81,7 @@
         tasks.start("nightly")
         while len(rejections) < 3:
             await asyncio.sleep(0.01)
-        assert set(rejections) == {("nightly", (9, "n2"))}
+        assert set(rejections) == {("nightly", Token(9, "n2"))}
         tasks.start("nightly")  # replaces the first task
         del tokens["nightly"]
         await asyncio.sleep(0.05)
--- a/tests/test_peers_lab.py
+++ b/tests/test_peers_lab.py
@@ -41,7 +41,7 @@
     lab.until(lambda: lab.agree(rest), 30.0)
     lab.signal(signal.SIGCONT, first)  # after every time-out
     lab.until(lambda: lab.agree(list(range(n))), 30.0)
-    assert any(line["event"] == "peers.member.stood_still" for line in lab.lines(first))
+    assert any(line["event"] == "peers.member.paused" for line in lab.lines(first))
     lab.until_duty_is_done(15.0)
     second = int(lab.effects[-1][1][1][1:])
     lab.kill(second)
