--- a/grebeproxy/lab/scale/real_routers.py
+++ b/grebeproxy/lab/scale/real_routers.py
@@ -121,7 +121,7 @@
 
     async def _serving(self, router: RealRouter) -> None:
         deadline = time.monotonic() + START_TIMEOUT_S
-        while "serving on" not in (text := (self._home(router) / "log").read_text()):
+        while "router.listener.opened" not in (text := (self._home(router) / "log").read_text()):
             if time.monotonic() > deadline:
                 raise TimeoutError(f"{router.name} does not serve: {text[-200:]}")
             await asyncio.sleep(0.05)
--- a/grebeproxy/net/admin_protocol.py
+++ b/grebeproxy/net/admin_protocol.py
@@ -39,7 +39,7 @@
         self._buffer += data
         line, end, _ = self._buffer.partition(b"\n")
         if len(line) > MAX_BYTES:
-            raise BadFrameError("door: a line that is too long")
+            raise BadFrameError("a line that is too long")
         if end:
             self._called = True
             yield call(line.decode("ascii", "replace"))
--- a/grebeproxy/net/changelog.py
+++ b/grebeproxy/net/changelog.py
@@ -51,7 +51,7 @@
             length, seq, kind = HEAD.unpack_from(self._buffer)
             complete_records = not (length - AFTER_LENGTH) % RECORD.size
             if not AFTER_LENGTH <= length <= MAX_BYTES or not complete_records or kind > CHANGES:
-                raise BadFrameError(f"change log: a frame of kind {kind} and length {length}")
+                raise BadFrameError(f"a frame of kind {kind} and length {length}")
             if len(self._buffer) < 4 + length:
                 return
             records = bytes(self._buffer[HEAD.size : 4 + length])
@@ -62,7 +62,7 @@
         engines, addresses = [], {}
         for number, host, port, state, zone, shape, cell, weight, started in RECORD.iter_unpack(records):
             if state >= len(STATES) or zone >= len(self._zones) or shape >= len(self._kinds):
-                raise BadFrameError("change log: a record with a state, zone or kind that is not known")
+                raise BadFrameError("a record with a state, zone or kind that is not known")
             engine = f"s-{number:08x}"
             addresses[engine] = (socket.inet_ntoa(host.to_bytes(4, "big")), port)
             engines.append(
--- a/grebeproxy/net/connections/__init__.py
+++ b/grebeproxy/net/connections/__init__.py
@@ -1,6 +1,6 @@
-"""The kinds of connections that a router has, as asyncio protocols.
+"""A router's kinds of connections, as asyncio protocols.
 
-Each decodes bytes to typed values and reports them as events. Nothing is decided here.
+Each decodes bytes to typed messages and reports them as events to its host. Decisions are made elsewhere.
 """
 
 from grebeproxy.net.connections.admin import AdminConnection
--- a/grebeproxy/net/connections/admin.py
+++ b/grebeproxy/net/connections/admin.py
@@ -12,30 +12,33 @@
 class AdminConnection(Connection):
     """An operator's connection: one call, one answer."""
 
+    peer = "operator"
+
     def __init__(self, host: Host, number: int, admins: dict[int, AdminConnection]) -> None:
         super().__init__(host, admin_protocol.Decoder())
-        self.number, self._admins = number, admins
+        self.number = number
+        self._admins = admins
 
-    def opened(self) -> None:
-        """Count it in."""
+    def on_open(self) -> None:
+        """Register the connection and report it."""
         self._admins[self.number] = self
         self.host.feed(events.AdminOpened(self.number))
 
-    def received(self, message: object) -> events.Event:
-        """A call."""
+    def message_event(self, message: object) -> events.Event:
+        """An operator's call."""
         return events.AdminCallReceived(self.number, cast(AdminCall, message))
 
-    def log_unreadable(self, text: str) -> None:
-        """Some callers send nothing else."""
-        self.host.log_limited(text)
-
-    def closed(self, reason: str) -> events.Event:
-        """Count it out."""
+    def close_event(self, reason: str) -> events.Event:
+        """Unregister the connection."""
         self._admins.pop(self.number, None)
         return events.AdminClosed(self.number)
 
+    def log_malformed(self, text: str) -> None:
+        """Rate-limited, because some callers send nothing else."""
+        self.host.log_limited(text)
+
     def answer(self, done: bool, text: str) -> None:
-        """The answer, and the end behind it."""
-        if self.transport is not None and not self.ended:
+        """Write the answer and close behind it."""
+        if self.transport is not None and not self.detached:
             self.transport.write(admin_protocol.encode(done, text))
-            self.finish()
+            self.close_gracefully()
--- a/grebeproxy/net/connections/base.py
+++ b/grebeproxy/net/connections/base.py
@@ -1,16 +1,17 @@
-"""What all connections have in common: decoding, reporting, and the ways in which they end."""
+"""What all connections have in common: decoding, reporting events, and the ways in which they close."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Iterator
-from typing import Protocol, cast
+from typing import ClassVar, Protocol, cast
 
 from grebeproxy.net import events
 from grebeproxy.net.closing import ClosingConnections
+from grebeproxy.net.log_line import log_line
 from grebeproxy.net.messages import BadFrameError
 
-MAX_DISCARDED = 256 * 1024  # bytes read and dropped of a closing connection, beyond which it is cut
+MAX_DISCARDED_BYTES = 256 * 1024  # read and dropped of a closing connection; beyond it, it is aborted
 
 
 class Decoder(Protocol):
@@ -18,7 +19,7 @@
 
     @property
     def partial(self) -> int:
-        """Bytes of a message that has begun and is not whole yet."""
+        """Bytes buffered of a message that is not complete yet."""
 
     def feed(self, data: bytes) -> Iterator[object]:
         """The messages that these bytes complete. Raises ``BadFrameError``."""
@@ -29,127 +30,140 @@
 
     @property
     def closing(self) -> ClosingConnections:
-        """The connections that the router has ended and whose peers have not."""
+        """The connections that the router has closed and whose peers have not."""
 
     def feed(self, *reported: events.Event) -> None:
-        """Let the router take events."""
+        """Pass events to the router."""
 
     def log(self, text: str) -> None:
-        """Write one line for whoever runs the router."""
+        """Write one log line."""
 
     def log_limited(self, text: str) -> None:
-        """Write one line on a peer that cannot be understood, unless there was one just now."""
+        """Write one log line on a peer's malformed bytes, unless there was one less than a second ago."""
 
 
 class Connection(asyncio.Protocol):
-    """Decodes what comes in and reports it; what is reported is up to the kinds."""
+    """Decodes what comes in and reports it as events, which the subclasses define; ``peer`` is for the log.
+
+    Once ``detached``, a connection reports nothing more: either it has reported its end, or the router asked
+    for it. Its transport may stay open for a moment longer (see ``close_gracefully``).
+    """
+
+    peer: ClassVar[str]
 
     def __init__(self, host: Host, decoder: Decoder) -> None:
-        self.host, self.decoder = host, decoder
+        self.host = host
+        self.decoder = decoder
         self.transport: asyncio.Transport | None = None
-        self.connecting: asyncio.Task[None] | None = None
-        self.ended = False  # the router knows of the end, or asked for it
+        self.dial_task: asyncio.Task[None] | None = None  # owned by the dialer
+        self.detached = False
         self.half_closed = False  # the end of the stream is written
-        self.local_shortage = False  # it could not be made for want of something on this machine
-        self._discarded = 0  # bytes that came behind the end
+        self.local_shortage = False  # dialling failed for want of a resource of this machine
+        self._discarded_bytes = 0
+
+    # --- called by asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, or end it where it was given up meanwhile."""
+        """Keep the transport, or abort it where the connection was closed while it was being made."""
         self.transport = cast(asyncio.Transport, transport)
-        if self.ended:
+        if self.detached:
             self.transport.abort()
         else:
-            self.opened()
+            self.on_open()
 
     def data_received(self, data: bytes) -> None:
-        """Report each message; bytes that cannot be read end the connection."""
-        if self.ended:
+        """Report each message; bytes that the codec does not allow end the connection."""
+        if self.detached:
             self._discard(data)
             return
         reported: list[events.Event] = []
         readable = True
         try:
             for message in self.decoder.feed(data):
-                reported.append(self.received(message))
+                reported.append(self.message_event(message))
         except BadFrameError as error:
-            self.log_unreadable(str(error))
+            self.log_malformed(log_line("router.message.malformed", peer=self.peer, error=error))
             readable = False
         if readable and self.decoder.partial:
-            reported += self.received_part()
+            reported += self.partial_message_events()
         self.host.feed(*reported)
         if not readable:
             self.end("bytes that cannot be read")
 
-    def _discard(self, data: bytes) -> None:
-        self._discarded += len(data)
-        if self._discarded > MAX_DISCARDED:
-            self.host.closing.cut(self)
-
     def eof_received(self) -> bool:
-        """Report the end at once: the transport would first send what is written, and none may read it."""
+        """Report the end at once: the transport alone would first flush its buffer, which nobody may read."""
         self.end("closed")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report the end."""
-        self.host.closing.discard(self)
+        self.host.closing.remove(self)
         self.end(str(exc or "closed"))
 
+    def _discard(self, data: bytes) -> None:
+        self._discarded_bytes += len(data)
+        if self._discarded_bytes > MAX_DISCARDED_BYTES:
+            self.host.closing.abort(self)
+
+    # --- ways to close
+
     def end(self, reason: str) -> None:
-        """Report the end once and close."""
-        if not self.ended:
+        """Close and report it, unless the connection is detached already."""
+        if not self.detached:
             self.close()
-            self.host.feed(self.closed(reason))
+            self.host.feed(self.close_event(reason))
 
     def close(self) -> None:
-        """Close without a report."""
-        self.ended = True
-        if self.connecting is not None:
-            # Guards the descriptors: a connection to a silent machine would be tried for minutes.
-            self.connecting.cancel()
+        """Close without a report; also gives up a dial under way."""
+        self.detached = True
+        if self.dial_task is not None:
+            # A connect to a machine that does not answer would hold its descriptor for minutes.
+            self.dial_task.cancel()
         self.abort()
 
     def abort(self) -> None:
-        """End at once, also what is written and not sent."""
+        """Close at once and drop what is written and not sent."""
         if self.transport is not None:
             self.transport.abort()
 
-    def unsent_bytes(self) -> int:
-        """Bytes that were written and are not sent yet."""
-        return self.transport.get_write_buffer_size() if self.transport is not None else 0
+    def close_gracefully(self) -> None:
+        """Send what is written and the end of the stream; for a moment, read and drop what still comes.
 
-    def finish(self) -> None:
-        """Send what is written and the end of the stream; what still comes is read and dropped for a moment.
-
-        Guards what was written last: a close over bytes that are not read resets the connection, and the peer
-        loses with it what it has not read yet.
+        Closing a socket with unread bytes resets the connection, and the peer would lose with it what it has
+        not read yet.
         """
-        self.ended = True
+        self.detached = True
         if self.transport is not None and not self.transport.is_closing():
             self.half_close()
             self.host.closing.add(self)
 
     def half_close(self) -> None:
-        """Send the end of the stream behind what is written, and read on: what crosses must not reset it."""
+        """Send the end of the stream behind what is written, and keep reading."""
         if self.transport is not None and not self.half_closed:
             self.half_closed = True
             self.transport.write_eof()
 
-    def opened(self) -> None:
-        """The connection is up."""
+    def unsent_bytes(self) -> int:
+        """Bytes that were written and are not sent yet."""
+        return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
-    def received(self, message: object) -> events.Event:
-        """The event of a message."""
-        raise NotImplementedError
+    # --- defined by the subclasses
 
-    def log_unreadable(self, text: str) -> None:
-        """Log that bytes came that cannot be read."""
-        self.host.log(text)
+    def on_open(self) -> None:
+        """Called when the connection is up."""
+
+    def message_event(self, message: object) -> events.Event:
+        """The event that reports a decoded message."""
+        raise NotImplementedError
 
-    def received_part(self) -> list[events.Event]:
-        """The event of a message that is not whole, where that matters."""
+    def partial_message_events(self) -> list[events.Event]:
+        """The events that report an incomplete message, where the router needs to know."""
         return []
 
-    def closed(self, reason: str) -> events.Event:
-        """The event of the end."""
+    def close_event(self, reason: str) -> events.Event:
+        """The event that reports the end of the connection."""
         raise NotImplementedError
+
+    def log_malformed(self, text: str) -> None:
+        """Write the line on bytes that the codec does not allow."""
+        self.host.log(text)
--- a/grebeproxy/net/connections/change_log.py
+++ b/grebeproxy/net/connections/change_log.py
@@ -10,22 +10,28 @@
 
 
 class ChangeLogConnection(Connection):
-    """The connection to the change log; asks for what came after the event ``seq``."""
+    """The connection to the change log; subscribes to what came after the event ``seq``.
+
+    ``dial`` is the number of the dial (see ``events.OpenChangeLog``) that its events carry.
+    """
+
+    peer = "change-log"
 
     def __init__(self, host: Host, decoder: changelog.Decoder, seq: int, dial: int) -> None:
         super().__init__(host, decoder)
-        self._seq, self._dial = seq, dial
+        self._seq = seq
+        self._dial = dial
 
-    def opened(self) -> None:
-        """Ask for what came after the last event."""
+    def on_open(self) -> None:
+        """Subscribe to what came after the last event."""
         assert self.transport is not None
         self.transport.write(changelog.hello(self._seq))
         self.host.feed(events.ChangeLogOpened(self._dial))
 
-    def received(self, message: object) -> events.Event:
+    def message_event(self, message: object) -> events.Event:
         """An event of the log."""
         return events.ChangeLogReceived(cast(ChangeLogUpdate, message))
 
-    def closed(self, reason: str) -> events.Event:
-        """The connection is gone."""
+    def close_event(self, reason: str) -> events.Event:
+        """The connection is closed, or could not be made."""
         return events.ChangeLogClosed(reason, self._dial)
--- a/grebeproxy/net/connections/engine.py
+++ b/grebeproxy/net/connections/engine.py
@@ -12,34 +12,42 @@
 class EngineConnection(Connection):
     """A connection to an engine."""
 
+    peer = "engine"
+
     def __init__(self, host: Host, number: int, links: dict[int, EngineConnection]) -> None:
         super().__init__(host, resp.Decoder())
-        self.number, self._links = number, links
+        self.number = number
+        self._links = links
 
-    def opened(self) -> None:
-        """Report it; with no high-water mark, a pause means that the last write was not sent whole."""
+    def on_open(self) -> None:
+        """Report it. With a high-water mark of 0, a pause means that part of the last write is unsent."""
         assert self.transport is not None
         self.transport.set_write_buffer_limits(high=0)
         self.host.feed(events.LinkOpened(self.number))
 
-    def received(self, message: object) -> events.Event:
+    def message_event(self, message: object) -> events.Event:
         """An engine's answer."""
         return events.LinkAnswerReceived(self.number, cast(EngineAnswer, message))
 
-    def received_part(self) -> list[events.Event]:
-        """A part of an answer."""
+    def partial_message_events(self) -> list[events.Event]:
+        """The start of an answer."""
         return [events.LinkAnswerStarted(self.number)]
 
-    def closed(self, reason: str) -> events.Event:
-        """The connection is gone."""
+    def close_event(self, reason: str) -> events.Event:
+        """Unregister the connection."""
         self._links.pop(self.number, None)
         return events.LinkClosed(self.number, self.local_shortage)
 
+    def write(self, data: bytes) -> None:
+        """Send commands; dropped where the connection is not up."""
+        if self.transport is not None:
+            self.transport.write(data)
+
     def pause_writing(self) -> None:
-        """The last write is not sent whole."""
+        """The last write is not sent completely."""
         self.host.feed(events.LinkPaused(self.number))
 
     def resume_writing(self) -> None:
-        """All is sent."""
-        if not self.ended:
+        """All that was written is sent."""
+        if not self.detached:
             self.host.feed(events.LinkResumed(self.number))
--- a/grebeproxy/net/effects.py
+++ b/grebeproxy/net/effects.py
@@ -1,4 +1,4 @@
-"""Carries out the effects that the reducer asks for."""
+"""Carries out the effects that the router's reducer returns."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class EffectTarget(Protocol):
-    """What effects act on: connections, timers, and the program's life."""
+    """What effects act on: connections, timers, the log, and the process."""
 
     clients: ClientConnections
     links: dict[int, EngineConnection]
@@ -20,25 +20,25 @@
         """Connect to an engine."""
 
     def open_change_log(self, effect: events.OpenChangeLog) -> None:
-        """Connect to the change log, ending an earlier connection."""
+        """Connect to the change log, closing an earlier connection."""
 
     def save_overrides(self, calls: manual_overrides.Calls) -> None:
         """Write the manual overrides for this router's other processes."""
 
-    def wake_at(self, at: float) -> None:
+    def wake_at(self, due: float) -> None:
         """Feed ``Woken`` at that time."""
 
     def log(self, text: str) -> None:
-        """Write a line to the log."""
+        """Write a log line."""
 
     def start_listening(self) -> None:
-        """Take connections from now on."""
+        """Accept clients from now on."""
 
     def stop_listening(self) -> None:
-        """Take no more connections."""
+        """Accept no more clients."""
 
     def exit(self) -> None:
-        """End the program."""
+        """End the program once all that was written is sent."""
 
 
 def carry_out(target: EffectTarget, effects: Iterable[events.Effect]) -> None:
@@ -62,8 +62,8 @@
             target.open_change_log(effect)
         case events.SaveOverrides(calls):
             target.save_overrides(calls)
-        case events.Wake(at):
-            target.wake_at(at)
+        case events.Wake(due):
+            target.wake_at(due)
         case events.LogLine(text):
             target.log(text)
         case events.StartListening():
@@ -87,7 +87,7 @@
             client.half_close()
         case events.CloseClient(number):
             del target.clients[number]
-            client.hang_up()
+            client.close_or_abort()
 
 
 def _on_engine(target: EffectTarget, effect: events.OpenLink | events.Write | events.CloseLink) -> None:
@@ -96,11 +96,12 @@
             target.open_link(number, address)
         case events.Write(number, commands):
             link = target.links.get(number)
-            if link is not None and link.transport is not None:
-                link.transport.write(b"".join(map(resp.encode, commands)))
+            if link is not None:
+                link.write(b"".join(map(resp.encode, commands)))
         case events.CloseLink(number):
-            if (closed := target.links.pop(number, None)) is not None:
-                closed.close()
+            link = target.links.pop(number, None)
+            if link is not None:
+                link.close()
 
 
 def _on_admin(target: EffectTarget, effect: events.AnswerAdmin | events.CloseAdmin) -> None:
--- a/grebeproxy/net/listener.py
+++ b/grebeproxy/net/listener.py
@@ -1,7 +1,7 @@
-"""A listening socket: takes connections a few at a time and gives each a protocol.
+"""A listening socket: accepts connections a few at a time and gives each a protocol.
 
-The loop's own server takes all that are there in one go, and when descriptors run out it closes on whoever
-comes: hundreds that send nothing would shut out the usual clients.
+The loop's own server accepts all that wait in one go, and when descriptors run out it closes each newcomer:
+hundreds of connections that send nothing would then shut out the usual clients.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 import socket
 from collections.abc import Callable
 
-BACKLOG = 1024  # connections that the machine holds until they are taken
-ACCEPTS_PER_TURN = 16  # connections taken before what has come on others is read
-ACCEPT_PAUSE = 0.05  # seconds without descriptors
-DRAIN_TIMEOUT = 0.5  # seconds for what waits when the socket is being closed
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
+ACCEPTS_PER_TURN = 16  # connections accepted before the loop reads from others
+ACCEPT_PAUSE = 0.05  # seconds without accepting after descriptors ran out
+DRAIN_TIMEOUT = 0.5  # seconds in which queued connections are still accepted once the socket is to close
 
 
 def bind(address: tuple[str, int]) -> socket.socket:
-    """A socket bound to ``host, port``, not listening yet. Raises ``OSError`` where it cannot be had."""
+    """A socket bound to ``host, port``, not listening yet. Raises ``OSError``, as for an address in use."""
     listener = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -29,85 +29,101 @@
 
 
 def adopt(descriptor: int) -> socket.socket:
-    """The listening socket that the platform holds under a descriptor. Raises ``OSError`` for another one."""
+    """The platform's listening socket under a descriptor. Raises ``OSError`` for one that does not listen."""
     listener = socket.socket(fileno=descriptor)
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        listener.detach()
+        listener.detach()  # not this program's to close
         raise OSError(f"descriptor {descriptor} does not listen")
     return listener
 
 
 class Listener:
-    """Takes connections from a socket; ``on_shortage`` is called with the reason where none can be taken."""
+    """Accepts connections from a socket.
+
+    ``on_shortage`` is called with the error where none can be accepted for want of a resource. A ``shared``
+    socket is accepted from by another process as well.
+    """
 
     def __init__(
         self,
         listener: socket.socket,
         new_protocol: Callable[[], asyncio.Protocol],
-        on_shortage: Callable[[str], None],
+        on_shortage: Callable[[OSError], None],
         *,
         shared: bool = False,
     ) -> None:
         listener.setblocking(False)
         self._socket: socket.socket | None = listener
-        self._new_protocol, self._on_shortage, self._shared = new_protocol, on_shortage, shared
+        self._new_protocol = new_protocol
+        self._on_shortage = on_shortage
+        self._shared = shared
         self._accepting: set[asyncio.Task[object]] = set()
         self._open = False
-        self._close_by: float | None = None  # it is being closed, and by when it has to be
+        self._close_deadline: float | None = None  # on the loop's clock, once it is to close
 
     def open(self) -> None:
         """Listen from now on. Raises ``OSError`` where another program came first."""
-        if self._socket is not None:
-            if not self._shared:
-                self._socket.listen(BACKLOG)
-            self._open = True
-            self._listen()
+        if self._socket is None:
+            return
+        if not self._shared:
+            self._socket.listen(BACKLOG)
+        self._open = True
+        self._watch()
 
     def close(self) -> None:
-        """Listen no more. What waits on an own socket is taken first, as fast as descriptors allow.
+        """Stop listening.
 
-        What waits on a shared one is left to the other process.
+        Connections queued on an own socket are accepted first, as fast as descriptors allow; those on a
+        shared one are left to the other process.
         """
         if self._shared or not self._open:
-            self._end()
-        elif self._close_by is None:
-            self._close_by = asyncio.get_running_loop().time() + DRAIN_TIMEOUT
+            self._close_socket()
+        elif self._close_deadline is None:
+            self._close_deadline = asyncio.get_running_loop().time() + DRAIN_TIMEOUT
             self._accept()
 
-    def _end(self) -> None:
+    def _close_socket(self) -> None:
         if self._socket is not None:
             asyncio.get_running_loop().remove_reader(self._socket)
             self._socket.close()
             self._socket = None
 
-    def _listen(self) -> None:
-        if self._socket is not None:
-            asyncio.get_running_loop().add_reader(self._socket, self._accept)
-            if self._close_by is not None:
-                self._accept()
+    def _watch(self) -> None:
+        """Accept whenever a connection is queued."""
+        if self._socket is None:
+            return
+        asyncio.get_running_loop().add_reader(self._socket, self._accept)
+        if self._close_deadline is not None:
+            self._accept()
 
     def _accept(self) -> None:
-        """Take some connections, and leave the rest to the machine's queue until what came is read."""
+        """Accept some connections; the rest stay queued in the kernel until the loop has read from others."""
         loop = asyncio.get_running_loop()
-        if self._close_by is not None and loop.time() >= self._close_by:
-            self._end()
+        if self._close_deadline is not None and loop.time() >= self._close_deadline:
+            self._close_socket()
         for _ in range(ACCEPTS_PER_TURN):
             if self._socket is None:
                 return
             try:
-                taken, _ = self._socket.accept()
+                accepted, _ = self._socket.accept()
             except (BlockingIOError, InterruptedError, ConnectionError):
-                if self._close_by is not None:
-                    self._end()  # nobody waits any more
-                return  # also where another process on the same socket was quicker
+                # The queue is empty; on a shared socket the other process may have been quicker.
+                if self._close_deadline is not None:
+                    self._close_socket()
+                return
             except OSError as error:  # no descriptor is left
-                self._on_shortage(f"listen: {error}")
+                self._on_shortage(error)
                 loop.remove_reader(self._socket)
-                loop.call_later(ACCEPT_PAUSE, self._listen)
+                loop.call_later(ACCEPT_PAUSE, self._watch)
                 return
-            taken.setblocking(False)
-            task: asyncio.Task[object] = loop.create_task(
-                loop.connect_accepted_socket(self._new_protocol, taken)
-            )
-            self._accepting.add(task)
-            task.add_done_callback(self._accepting.discard)
+            self._start(accepted)
+
+    def _start(self, accepted: socket.socket) -> None:
+        """Give an accepted socket its protocol."""
+        accepted.setblocking(False)
+        loop = asyncio.get_running_loop()
+        task: asyncio.Task[object] = loop.create_task(
+            loop.connect_accepted_socket(self._new_protocol, accepted)
+        )
+        self._accepting.add(task)
+        task.add_done_callback(self._accepting.discard)
--- a/grebeproxy/net/log_limit.py
+++ b/grebeproxy/net/log_limit.py
@@ -1,4 +1,4 @@
-"""A bound on log lines about peers that cannot be understood."""
+"""A rate limit on log lines that peers can cause."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 class RateLimitedLog:
     """Passes on at most one line a second, and counts those it left out.
 
-    Guards CPU and log against peers that go on sending what cannot be read.
+    Peers that go on sending malformed bytes would otherwise cost CPU and fill the log.
     """
 
     def __init__(self, log: Callable[[str], None], now: Callable[[], float]) -> None:
-        self._log, self._now = log, now
+        self._log = log
+        self._now = now
         self._last_line = float("-inf")
         self._suppressed = 0
 
@@ -24,5 +25,6 @@
         if now < self._last_line + MIN_INTERVAL:
             self._suppressed += 1
             return
-        self._log(f"{text} (and {self._suppressed} more before)" if self._suppressed else text)
-        self._last_line, self._suppressed = now, 0
+        self._log(f"{text} suppressed={self._suppressed}" if self._suppressed else text)
+        self._last_line = now
+        self._suppressed = 0
--- a/grebeproxy/net/msgpack_rpc.py
+++ b/grebeproxy/net/msgpack_rpc.py
@@ -115,7 +115,7 @@
                 start, self._at, self._left, self._items = start + self._at, 0, 1, 0
                 yield self._message(msgpack.unpackb(complete))
         except (ValueError, msgpack.UnpackException, TypeError) as error:
-            raise BadFrameError(f"client: {str(error) or type(error).__name__}") from None
+            raise BadFrameError(str(error) or type(error).__name__) from None
         del self._buffer[:start]
 
     def _message_complete(self, start: int) -> bool:
--- a/grebeproxy/net/process.py
+++ b/grebeproxy/net/process.py
@@ -1,4 +1,4 @@
-"""The life of the program: signals, the garbage collector, and the event loop."""
+"""The router as a process: signals, the garbage collector, and the event loop."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from grebeproxy.config import Config
 from grebeproxy.net.runtime import Runtime
 
-GC_THRESHOLDS = (20_000, 20, 50)  # few collections, each of them short: what start-up made is left out
+GC_THRESHOLDS = (20_000, 20, 50)  # for the three generations: few collections, as each stalls the loop
 
 
 class BackgroundService(Protocol):
     """What a program runs beside its router, on the same loop."""
 
     async def start(self) -> None:
-        """Begin. Raises ``OSError`` where an address cannot be had."""
+        """Called before the router starts. Raises ``OSError`` for an address that cannot be bound."""
 
     async def stop(self) -> None:
-        """End, once the router has."""
+        """Called once the router has ended."""
 
 
 def run(
     config: Config, read: Callable[[], Config], make_service: Callable[[], BackgroundService] | None = None
 ) -> None:
-    """Serve as a program of its own: on uvloop, until SIGTERM or SIGINT; SIGHUP reads the configuration.
+    """Serve on uvloop until SIGTERM or SIGINT; SIGHUP reads the configuration again with ``read``.
 
-    Raises ``OSError`` where an address cannot be had.
+    Raises ``OSError`` for an address that cannot be bound.
     """
     uvloop.run(_serve(config, read, make_service))
 
@@ -58,7 +58,10 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Guards against collections that stall the loop: keys are ordered by when requests are read."""
+    """Collect rarely, and never look again at what the start has made.
+
+    A collection stalls the loop, and requests that came meanwhile would be read late.
+    """
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/grebeproxy/net/resp.py
+++ b/grebeproxy/net/resp.py
@@ -89,24 +89,24 @@
         line = bytes(self._buffer[self._at : end])
         if end < 0:
             if len(self._buffer) - self._at >= MAX_LINE:
-                raise BadFrameError("engine: a line without end where a length was due")
+                raise BadFrameError("a line without end where a length was due")
             return False
         if self._words is None:
             if line != HEAD:
-                raise BadFrameError("engine: not an array of four bulk strings")
+                raise BadFrameError("not an array of four bulk strings")
             self._words, self._at = [], end + 2
             return True
         if not (line.startswith(b"$") and line[1:].isdigit()):
-            raise BadFrameError("engine: not a bulk string")
+            raise BadFrameError("not a bulk string")
         start, size = end + 2, int(line[1:])
         # Guards the memory, on the length alone: what announces 3 GB ends before it is buffered.
         if size > MAX_PART_BYTES[len(self._words)]:
-            raise BadFrameError("engine: an answer that is too long")
+            raise BadFrameError("an answer that is too long")
         if len(self._buffer) < start + size + 2:
             return False
         # Guards against passing on a result that a wrong length has cut off.
         if self._buffer[start + size : start + size + 2] != b"\r\n":
-            raise BadFrameError("engine: a length that does not fit")
+            raise BadFrameError("a length that does not fit")
         self._words.append(bytes(self._buffer[start : start + size]))
         self._at = start + size + 2
         return True
--- a/grebeproxy/net/runtime.py
+++ b/grebeproxy/net/runtime.py
@@ -1,11 +1,12 @@
-"""One router on an event loop: reports what happens to the reducer and has its effects carried out.
+"""One router on an event loop: passes events to the reducer and carries out the effects that it returns.
 
-Nothing is decided here.
+Decisions are made by the reducer (``grebeproxy.net.router``) alone.
 """
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import logging
 from collections.abc import Callable
 from dataclasses import replace
@@ -14,6 +15,7 @@
 
 from grebeproxy.config import Config, ConfigError
 from grebeproxy.net import admission, changelog, events, manual_overrides, router
+from grebeproxy.net.closing import ClosingConnections
 from grebeproxy.net.connections import (
     AdminConnection,
     ChangeLogConnection,
@@ -24,9 +26,9 @@
 from grebeproxy.net.dialer import Dialer
 from grebeproxy.net.effects import carry_out
 from grebeproxy.net.override_file import OverrideFile
-from grebeproxy.net.closing import ClosingConnections
 from grebeproxy.net.listener import Listener, adopt, bind
 from grebeproxy.net.log_limit import RateLimitedLog
+from grebeproxy.net.log_line import log_line
 from grebeproxy.net.override_sync import OverrideSync
 from grebeproxy.net.timers import LoopTimers
 from grebeproxy.policy import Choice
@@ -36,14 +38,14 @@
 
 
 class Retunable(Protocol):
-    """A codec that goes by settings."""
+    """A decoder that depends on the settings."""
 
     def retune(self, settings: Settings) -> None:
-        """Go by these from the next message on."""
+        """Use these settings from the next message on."""
 
 
 class Runtime:
-    """Runs one router on an event loop. ``timers`` are the loop's own, unless a test brings others."""
+    """Runs one router on an event loop. Tests pass their own ``timers``."""
 
     def __init__(
         self, config: Config, decide: router.Decide = Choice, timers: LoopTimers | None = None
@@ -60,15 +62,14 @@
         self._change_log: ChangeLogConnection | None = None
         self._numbers = count(1)
         self.closing = ClosingConnections(self.timers)
-        self.dialer = Dialer(self.report_shortage)
+        self.dialer = Dialer(self.report_dial_shortage)
         self._limited_log = RateLimitedLog(self.log, self.timers.now)
         self._overrides = self._override_sync()
         self._listener: Listener | None = None
-        self._admin_listener: Listener | None = None
-        self._listen_error: OSError | None = None  # why the address could not be listened on
+        self._listen_error: OSError | None = None  # raised by ``serve``
         self._done = asyncio.Event()
-        self._events: list[events.Event] = []
-        self._stepping = False
+        self._events: list[events.Event] = []  # for the next step
+        self._stepping = False  # the reducer or its effects are running
         self._router = router.Router(
             config.settings,
             config.limits,
@@ -91,44 +92,55 @@
     # --- the log
 
     def log(self, text: str) -> None:
-        """One line for whoever runs the router."""
+        """Write one log line."""
         LOG.info(text)
 
     def log_limited(self, text: str) -> None:
-        """One line on a peer that cannot be understood, unless there was one just now."""
+        """Write one log line that peers can cause, unless there was one less than a second ago."""
         self._limited_log.write(text)
 
-    def report_shortage(self, text: str) -> None:
-        """This machine lacks something: closing connections give up what they hold at once."""
-        self.log_limited(text)
-        self.closing.cut_all()
+    def report_dial_shortage(self, error: OSError) -> None:
+        """A connection could not be made for want of a resource of this machine."""
+        self._report_shortage("dial", error)
+
+    def report_accept_shortage(self, error: OSError) -> None:
+        """No connection can be accepted for want of a resource of this machine."""
+        self._report_shortage("accept", error)
 
-    # --- life
+    def _report_shortage(self, operation: str, error: OSError) -> None:
+        """Log it, and free what closing connections hold at once."""
+        self.log_limited(log_line("router.resource.exhausted", operation=operation, error=error))
+        self.closing.abort_all()
+
+    # --- start and end
 
     async def serve(self) -> None:
-        """Serve until asked to stop and all is answered. Raises ``OSError`` where an address is taken."""
-        # Bound at once, so that an address that cannot be had ends the start; listened on when it is time.
+        """Serve until asked to stop and all is answered. Raises ``OSError`` for an address in use."""
+        # Bound first, so that an address in use ends the start; the reducer decides when to listen.
         self._listener = self._bind()
-        if self.config.admin is not None:
-            self._admin_listener = Listener(
-                bind(self.config.admin), self.new_admin_connection, self.report_shortage
-            )
-            self._admin_listener.open()
-        carry_out(self, self._router.start(self.timers.now()))
-        if self._overrides is not None:
-            self._overrides.poll()
-        await self._done.wait()
-        if self._admin_listener is not None:
-            self._admin_listener.close()
-        if self._listen_error is not None:
-            raise self._listen_error
-        self._finish_connections()
-        await self.closing.wait_until_ended()
-
-    def _finish_connections(self) -> None:
-        """Close all behind what is written; from now on the router's own time-outs end none of them."""
+        async with self.dialer:
+            with self._admin_endpoint():
+                carry_out(self, self._router.start(self.timers.now()))
+                if self._overrides is not None:
+                    self._overrides.poll()
+                await self._done.wait()
+            if self._listen_error is not None:
+                raise self._listen_error
+            self._close_connections()
+            await self.closing.wait_until_closed()
+
+    def _admin_endpoint(self) -> contextlib.AbstractContextManager[object]:
+        """Listens for operators until it is left, where the configuration gives an address for them."""
+        if self.config.admin is None:
+            return contextlib.nullcontext()
+        listener = Listener(bind(self.config.admin), self.new_admin_connection, self.report_accept_shortage)
+        listener.open()
+        return contextlib.closing(listener)
+
+    def _close_connections(self) -> None:
+        """Close those of clients and operators gracefully; the reducer's timeouts no longer apply to them."""
         for connection in (*self.clients.values(), *self.admins.values()):
-            connection.finish()
+            connection.close_gracefully()
         self.clients.clear()
         self.admins.clear()
 
@@ -136,45 +148,45 @@
         descriptor = self.config.listen_fd
         listening = bind(self.config.listen) if descriptor is None else adopt(descriptor)
         return Listener(
-            listening, self.new_client_connection, self.report_shortage, shared=descriptor is not None
+            listening, self.new_client_connection, self.report_accept_shortage, shared=descriptor is not None
         )
 
     def start_listening(self) -> None:
-        """Take connections from now on."""
+        """Accept clients from now on."""
         if self._listener is None:
             return
         try:
             self._listener.open()
         except OSError as error:
-            # Guards against another program that bound the address as well and listened first.
+            # Another program bound the address as well and listened first.
             self._listen_error = error
             self.exit()
             return
         host, port = self.config.listen
-        self.log(f"{self.config.name}: serving on {host}:{port}")
+        self.log(log_line("router.listener.opened", name=self.config.name, address=f"{host}:{port}"))
 
     def stop_listening(self) -> None:
-        """Take no more connections."""
+        """Accept no more clients."""
         if self._listener is not None:
-            self._listener.close()  # what the machine has accepted already is ours
+            self._listener.close()
             self._listener = None
 
     def terminate(self) -> None:
-        """Finish what was taken, then end."""
+        """Answer all open requests, then exit."""
         self.feed(events.StopRequested())
 
     def exit(self) -> None:
-        """End the program."""
+        """End ``serve`` once all that was written is sent."""
         self._done.set()
         self.closing.begin_exit()
 
     # --- events
 
     def feed(self, *reported: events.Event) -> None:
-        """Let the router take events, with all others that have come in this turn of the loop.
+        """Pass events to the router, in one step with all others of this iteration of the loop.
 
-        Guards against acting on what comes first where something that came as well forbids it: a process that
-        stood still finds a list, a client's end and another one's request all at once.
+        A step for each could act on the first event where a later one forbids it: a process that was stopped
+        and goes on finds an engine list, a client's close and another client's request all at once.
         """
         idle = not self._events and not self._stepping
         self._events.extend(reported)
@@ -182,7 +194,7 @@
             self.timers.call_soon(self._step)
 
     def _step(self) -> None:
-        """Let the router take what was fed, and then what its effects bring about."""
+        """Give the reducer the events that were fed, and those that its effects cause in turn."""
         self._stepping = True
         try:
             while self._events:
@@ -191,9 +203,9 @@
         finally:
             self._stepping = False
 
-    def wake_at(self, at: float) -> None:
-        """Feed ``Woken`` at that time; replaces an earlier one."""
-        self.timers.wake_at(at, self._wake)
+    def wake_at(self, due: float) -> None:
+        """Feed ``Woken`` at that time; replaces an earlier call."""
+        self.timers.wake_at(due, self._wake)
 
     def _wake(self) -> None:
         self.feed(events.Woken())
@@ -201,20 +213,21 @@
     # --- connections
 
     def new_client_connection(self) -> ClientConnection:
-        """A client's connection that is about to come up."""
+        """The protocol of a client's connection that was accepted."""
         return ClientConnection(self, next(self._numbers), self.config.settings, self.bounds, self.clients)
 
     def new_admin_connection(self) -> AdminConnection:
-        """An operator's connection that is about to come up."""
+        """The protocol of an operator's connection that was accepted."""
         return AdminConnection(self, next(self._numbers), self.admins)
 
     def open_link(self, number: int, address: events.Address) -> None:
         """Connect to an engine."""
-        self.links[number] = link = EngineConnection(self, number, self.links)
+        link = EngineConnection(self, number, self.links)
+        self.links[number] = link
         self.dialer.dial(link, address)
 
     def open_change_log(self, effect: events.OpenChangeLog) -> None:
-        """Connect to the change log, ending an earlier connection."""
+        """Connect to the change log, closing an earlier connection."""
         if self._change_log is not None:
             self._change_log.close()
         decoder = changelog.Decoder(self.config.settings, self.timers.from_unix_ms)
@@ -222,33 +235,29 @@
         self.dialer.dial(self._change_log, effect.address)
 
     def save_overrides(self, calls: manual_overrides.Calls) -> None:
-        """Write the manual overrides for this router's other processes, where there may be some."""
+        """Write the manual overrides for this router's other processes, where they share a folder."""
         if self._overrides is not None:
             self._overrides.save(calls)
 
     # --- configuration
 
     def reload(self, read: Callable[[], Config]) -> None:
-        """Take what may change while serving from a configuration that is read again.
+        """Read the configuration again and apply what may change while serving.
 
-        Guards against a file that cannot be used: the log says so, and what was in force stays so.
+        Where it cannot be used, the log says why and the configuration stays as it was.
         """
         try:
             fresh = read()
             fresh.check_against(self.config)
         except ConfigError as error:
-            self.log(f"configuration kept as it was: {error}")
+            self.log(log_line("router.configuration.rejected", error=error))
             return
-        before, self.config = self.config, self.config.updated_while_serving(fresh)
-        ignored = replace(fresh, listen_fd=before.listen_fd, folder=before.folder) != self.config
-        self.log(
-            "configuration read again"
-            + (
-                "; all that differs but changelog and settings takes effect at the next start"
-                if ignored
-                else ""
-            )
-        )
+        before = self.config
+        self.config = before.updated_while_serving(fresh)
+        if replace(fresh, listen_fd=before.listen_fd, folder=before.folder) == self.config:
+            self.log(log_line("router.configuration.reloaded"))
+        else:  # keys differ that take effect at the next start only
+            self.log(log_line("router.configuration.reloaded", restart_needed="true"))
         if before.settings != fresh.settings:
             self._retune_decoders(fresh.settings)
         self.feed(events.Reloaded(fresh.changelog, fresh.settings, fresh.limits))
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -177,7 +177,7 @@
     """Writes down what is dialled; the recording tells what comes of it."""
 
     def __init__(self, player: Player) -> None:
-        super().__init__(player.report_shortage)
+        super().__init__(player.report_dial_shortage)
         self.player, self.dialled = player, 0
 
     def dial(self, connection: Connection, address: tuple[str, int]) -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -57,7 +57,7 @@
     assert first_line(engines) == "toy engines: ready\n"
     router = start("-m", "grebeproxy", BALANCER_CONFIG=str(path))
     try:
-        assert "serving on" in first_line(router)
+        assert "router.listener.opened" in first_line(router)
         ask = start(str(EXAMPLES / "ask.py"), str(path), "lookup", "SELECT n FROM ops_3.t")
         rows = ask.communicate(timeout=30)[0].splitlines()
         assert [row.split("\t")[0] for row in rows if row] == list("012345")
@@ -76,7 +76,7 @@
     path.write_bytes(orjson.dumps(with_changes({"listen": address, "changelog": free_address()})))
     router = start("-m", "grebeproxy", descriptors=40, BALANCER_CONFIG=str(path))
     try:
-        assert router.stdout is not None and any("serving on" in line for line in router.stdout)
+        assert router.stdout is not None and any("router.listener.opened" in line for line in router.stdout)
         crowd = [connect(address) for _ in range(60)]
         assert serves(crowd[0])
         for client in crowd:
