--- a/grebeproxy/config.py
+++ b/grebeproxy/config.py
@@ -10,7 +10,7 @@
 import orjson
 
 from grebeproxy.errors import GrebeproxyError
-from grebeproxy.net.changelog import host_and_port, known_events
+from grebeproxy.net.changelog import KnownEvents, host_and_port, known_events
 from grebeproxy.policy.interface import Settings
 from grebeproxy.settings import WireLimits, settings_from, wire_limits_from
 
@@ -33,7 +33,7 @@
     seed: int
     sockets: int
     memory_mb: float
-    known: dict[str, Any]
+    known: KnownEvents
     settings: Settings
     limits: WireLimits
     admin: tuple[str, int] | None = None  # where operators call
--- a/grebeproxy/net/admin_protocol.py
+++ b/grebeproxy/net/admin_protocol.py
@@ -6,52 +6,51 @@
 
 from grebeproxy.net.messages import (
     Active,
-    BadFrameError,
     AdminCall,
-    Standby,
-    Status,
+    BadFrameError,
     MaintenanceOff,
     MaintenanceOn,
+    Standby,
+    Status,
     UnknownCall,
 )
 
-MAX_BYTES = 256
-PLAIN: dict[str, AdminCall] = {"status": Status(), "standby": Standby(), "active": Active()}
-ON_ENGINES: dict[str, Callable[[str], AdminCall]] = {"maint-on": MaintenanceOn, "maint-off": MaintenanceOff}
+MAX_LINE_BYTES = 256
+ROUTER_CALLS: dict[str, AdminCall] = {"status": Status(), "standby": Standby(), "active": Active()}
+ENGINE_CALLS: dict[str, Callable[[str], AdminCall]] = {"maint-on": MaintenanceOn, "maint-off": MaintenanceOff}
 
 
 class Decoder:
-    """Splits the first line off, however the bytes are cut; what comes behind it is not looked at."""
+    """Splits off the first line, however the bytes are cut; what comes behind it is ignored."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._called = False
+        self._decoded = False  # the connection's one call
 
     @property
     def partial(self) -> int:
-        """Bytes of a call that has begun and is not whole yet."""
-        return 0 if self._called else len(self._buffer)
+        """Bytes buffered of a call that is not complete yet."""
+        return 0 if self._decoded else len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[AdminCall]:
-        """The call, once its line is whole. Raises ``BadFrameError`` for a line that is too long."""
-        if self._called:
+        """The call, once its line is complete. Raises ``BadFrameError`` for a line that is too long."""
+        if self._decoded:
             return
         self._buffer += data
         line, end, _ = self._buffer.partition(b"\n")
-        if len(line) > MAX_BYTES:
+        if len(line) > MAX_LINE_BYTES:
             raise BadFrameError("a line that is too long")
         if end:
-            self._called = True
-            yield call(line.decode("ascii", "replace"))
+            self._decoded = True
+            yield _call(line.decode("ascii", "replace"))
 
 
-def call(line: str) -> AdminCall:
-    """What a line asks for."""
+def _call(line: str) -> AdminCall:
     match line.split():
-        case [verb] if verb in PLAIN:
-            return PLAIN[verb]
-        case [verb, engine] if verb in ON_ENGINES:
-            return ON_ENGINES[verb](engine)
+        case [verb] if verb in ROUTER_CALLS:
+            return ROUTER_CALLS[verb]
+        case [verb, engine] if verb in ENGINE_CALLS:
+            return ENGINE_CALLS[verb](engine)
     return UnknownCall()
 
 
--- a/grebeproxy/net/changelog.py
+++ b/grebeproxy/net/changelog.py
@@ -5,26 +5,63 @@
 import socket
 import struct
 from collections.abc import Callable, Iterator
-from typing import Any
+from typing import NotRequired, TypedDict
 
 from grebeproxy.errors import GrebeproxyError
+from grebeproxy.net.events import Address
 from grebeproxy.net.messages import BadFrameError, ChangeLogUpdate
 from grebeproxy.policy.interface import Engine, EngineList, EngineState, ListKind, Settings
 
-HEAD = struct.Struct(">IQB")
-RECORD = struct.Struct(">IIHBBBHIQ")
-AFTER_LENGTH = HEAD.size - 4
-MAX_BYTES = AFTER_LENGTH + 16384 * RECORD.size
+HEAD = struct.Struct(">IQB")  # length of what follows it, sequence number, kind of frame
+RECORD = struct.Struct(">IIHBBBHIQ")  # one engine: the fields are named in ``Decoder._update``
+LENGTH_BYTES = 4  # of a frame, not counted by its length
+AFTER_LENGTH = HEAD.size - LENGTH_BYTES
+MAX_RECORDS = 16384  # engines in one frame
+MAX_BYTES = AFTER_LENGTH + MAX_RECORDS * RECORD.size  # of a frame behind its length
+WEIGHT_SCALE = 1000  # a weight of 1 is written as this
 NOTHING, FULL, CHANGES = 0, 1, 2  # kinds of frame: a heartbeat, the full list, changes to it
 PORT_LIMIT = 65536  # ports are below it, and above 0
 STATES = (EngineState.UP, EngineState.DRAINING, EngineState.GONE)
 STATE_NAMES = {"Ready": EngineState.UP, "Terminating": EngineState.DRAINING, "Gone": EngineState.GONE}
 
-Clock = Callable[[int], float]  # a Unix millisecond on the module's clock
+Clock = Callable[[int], float]  # from a Unix time in milliseconds to the decision module's clock
+
+
+class EngineEntry(TypedDict):
+    """An engine in the configuration's events. Keys and values are those of the operators' registry."""
+
+    name: str
+    address: str
+    zone: str
+    type: str
+    status: str
+    group: NotRequired[int]
+    weight: NotRequired[float]
+    since_ms: NotRequired[int]
+
+
+class KnownList(TypedDict):
+    """The engine list of one event; the whole list with ``snapshot``, else changes to it."""
+
+    endpoints: list[EngineEntry]
+    snapshot: NotRequired[bool]
+
+
+class KnownEvent(TypedDict):
+    """One event of the change log in the configuration."""
+
+    seq: int
+    fleet: KnownList
+
+
+class KnownEvents(TypedDict):
+    """The change log's events that the configuration holds. What a file holds is checked by reading it."""
+
+    results: list[KnownEvent]
 
 
 def hello(seq: int) -> bytes:
-    """What a router writes first: the number of the last event it has."""
+    """What a router writes first to subscribe: the sequence number of the last event it has."""
     return struct.pack(">Q", seq)
 
 
@@ -32,34 +69,38 @@
     """Splits the stream into events, however the bytes are cut."""
 
     def __init__(self, settings: Settings, clock: Clock) -> None:
-        self._clock, self._buffer = clock, bytearray()
+        self._clock = clock
+        self._buffer = bytearray()
         self.retune(settings)
 
     def retune(self, settings: Settings) -> None:
-        """Go by these settings' lists of zones and kinds from the next event on."""
-        self._zones, self._kinds = settings.zones, settings.kinds
+        """Use these settings' lists of zones and kinds from the next event on."""
+        self._zones = settings.zones
+        self._kinds = settings.kinds
 
     @property
     def partial(self) -> int:
-        """Bytes of a frame that has begun and is not complete yet."""
+        """Bytes buffered of a frame that is not complete yet."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[ChangeLogUpdate]:
-        """The events that these bytes complete."""
+        """The events that these bytes complete. Raises ``BadFrameError``."""
         self._buffer += data
         while len(self._buffer) >= HEAD.size:
             length, seq, kind = HEAD.unpack_from(self._buffer)
             complete_records = not (length - AFTER_LENGTH) % RECORD.size
             if not AFTER_LENGTH <= length <= MAX_BYTES or not complete_records or kind > CHANGES:
                 raise BadFrameError(f"a frame of kind {kind} and length {length}")
-            if len(self._buffer) < 4 + length:
+            end = LENGTH_BYTES + length
+            if len(self._buffer) < end:
                 return
-            records = bytes(self._buffer[HEAD.size : 4 + length])
-            del self._buffer[: 4 + length]
+            records = bytes(self._buffer[HEAD.size : end])
+            del self._buffer[:end]
             yield ChangeLogUpdate(seq) if kind == NOTHING else self._update(seq, kind, records)
 
     def _update(self, seq: int, kind: int, records: bytes) -> ChangeLogUpdate:
-        engines, addresses = [], {}
+        engines: list[Engine] = []
+        addresses: dict[str, Address] = {}
         for number, host, port, state, zone, shape, cell, weight, started in RECORD.iter_unpack(records):
             if state >= len(STATES) or zone >= len(self._zones) or shape >= len(self._kinds):
                 raise BadFrameError("a record with a state, zone or kind that is not known")
@@ -67,49 +108,53 @@
             addresses[engine] = (socket.inet_ntoa(host.to_bytes(4, "big")), port)
             engines.append(
                 Engine(
-                    engine,
-                    self._kinds[shape].name,
-                    self._zones[zone],
-                    cell,
-                    STATES[state],
-                    self._clock(started) if started else None,
-                    weight / 1000,
+                    id=engine,
+                    kind=self._kinds[shape].name,
+                    zone=self._zones[zone],
+                    cell=cell,
+                    state=STATES[state],
+                    started=self._clock(started) if started else None,
+                    weight=weight / WEIGHT_SCALE,
                 )
             )
         how = ListKind.FULL if kind == FULL else ListKind.CHANGES
         return ChangeLogUpdate(seq, EngineList(how, tuple(engines), seq), addresses)
 
 
-def known_events(known: dict[str, Any], clock: Clock) -> Iterator[ChangeLogUpdate]:
+def known_events(known: KnownEvents, clock: Clock) -> Iterator[ChangeLogUpdate]:
     """The events that the configuration holds, in order. Raises ValueError or KeyError naming the field."""
     for position, result in enumerate(known["results"]):
-        fleet, seq = result["fleet"], int(result["seq"])
-        engines, addresses = [], {}
-        for entry in fleet["endpoints"]:
+        known_list = result["fleet"]
+        seq = int(result["seq"])
+        engines: list[Engine] = []
+        addresses: dict[str, Address] = {}
+        for entry in known_list["endpoints"]:
             addresses[entry["name"]] = host_and_port(entry["address"])
-            started = int(entry.get("since_ms") or 0)
-            engines.append(
-                Engine(
-                    entry["name"],
-                    entry["type"],
-                    entry["zone"],
-                    int(entry.get("group", 0)),
-                    STATE_NAMES[entry["status"]],
-                    clock(started) if started else None,
-                    float(entry.get("weight", 1.0)),
-                )
-            )
-        full_list = fleet.get("snapshot") or not position  # the first event holds the full list
+            engines.append(_known_engine(entry, clock))
+        full_list = known_list.get("snapshot") or not position  # the first event holds the full list
         how = ListKind.FULL if full_list else ListKind.CHANGES
         yield ChangeLogUpdate(seq, EngineList(how, tuple(engines), seq), addresses)
 
 
+def _known_engine(entry: EngineEntry, clock: Clock) -> Engine:
+    started_ms = int(entry.get("since_ms") or 0)
+    return Engine(
+        id=entry["name"],
+        kind=entry["type"],
+        zone=entry["zone"],
+        cell=int(entry.get("group", 0)),
+        state=STATE_NAMES[entry["status"]],
+        started=clock(started_ms) if started_ms else None,
+        weight=float(entry.get("weight", 1.0)),
+    )
+
+
 class AddressError(GrebeproxyError, ValueError):
     """An address that is not ``host:port`` with a port from 1 to 65535; a ValueError, as callers catch."""
 
 
-def host_and_port(address: str) -> tuple[str, int]:
-    """Splits ``host:port`` into the host, without brackets, and the port. Raises AddressError otherwise."""
+def host_and_port(address: str) -> Address:
+    """Split ``host:port`` into the host, without brackets, and the port. Raises ``AddressError``."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < PORT_LIMIT:
         raise AddressError(f"{address!r} is not host:port")
