--- a/grebeproxy/__main__.py
+++ b/grebeproxy/__main__.py
@@ -8,34 +8,41 @@
 from grebeproxy.config import ConfigError, load
 from grebeproxy.net.process import BackgroundService, run
 
+EXIT_LISTEN_FAILED = 1
+EXIT_BAD_CONFIGURATION = 2
 
-def peers(name: str, path: str | None) -> Callable[[], BackgroundService] | None:
-    """What this router shares with others, where an operator file says so; else nothing of it is imported."""
-    if not path:
+
+def peers_service(name: str, peers_file: str | None) -> Callable[[], BackgroundService] | None:
+    """A factory of the service that shares state with other routers; ``None`` without an operator file.
+
+    Imported only then, because the import takes time and memory that most routers need not spend. Raises
+    ``ConfigError`` for a file that cannot be used.
+    """
+    if peers_file is None:
         return None
     from grebeproxy.peers import OperatorFileError, Peers, load
 
     try:
-        config = load(path, name)
+        peers_config = load(peers_file, name)
     except OperatorFileError as error:
         raise ConfigError(f"BALANCER_PEERS: {error}") from None
-    return lambda: Peers(config)
+    return lambda: Peers(peers_config)
 
 
 def main() -> int:
-    """Read the configuration and serve; what stands in the way is reported in one line."""
+    """Read the configuration and serve; a start that fails is reported in one line."""
     try:
         config = load(os.environ)
-        background = peers(config.name, os.environ.get("BALANCER_PEERS"))
+        background = peers_service(config.name, config.peers_file)
     except ConfigError as error:
         print(f"grebeproxy: {error}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_CONFIGURATION
     logging.basicConfig(level=logging.INFO, format="%(message)s")
     try:
         run(config, lambda: load(os.environ), background)
-    except OSError as error:  # the address is taken, or not this machine's
+    except OSError as error:  # the address is in use, or not this machine's
         print(f"grebeproxy: listen: {error}", file=sys.stderr)
-        return 1
+        return EXIT_LISTEN_FAILED
     return 0
 
 
--- a/grebeproxy/config.py
+++ b/grebeproxy/config.py
@@ -1,26 +1,39 @@
-"""The one place where the router's configuration is read, checked and given defaults."""
+"""The one place where the router's configuration is read, checked and given defaults.
+
+A configuration is a JSON file and the ``BALANCER_*`` variables, which take precedence over it. ``TMPDIR``
+names the folder that the processes of one router share.
+"""
 
 from __future__ import annotations
 
+import contextlib
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, replace
 from pathlib import Path
-from typing import Any
+from typing import cast
 
 import orjson
 
 from grebeproxy.errors import GrebeproxyError
 from grebeproxy.net.changelog import KnownEvents, host_and_port, known_events
+from grebeproxy.net.events import Address
 from grebeproxy.policy.interface import Settings
 from grebeproxy.settings import WireLimits, settings_from, wire_limits_from
+from grebeproxy.units import seconds
 
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192.0
 MAX_DESCRIPTOR = 2**20
+# Variables that replace a key of the file.
+VARIABLE_OF_KEY = {"name": "BALANCER_NAME", "listen": "BALANCER_LISTEN", "admin": "BALANCER_ADMIN"}
+# Objects whose keys are compared one by one when the file is read again.
+COMPARED_OBJECTS = ("limits", "settings", "settings.limits", "settings.obligations")
+
+Document = Mapping[str, object]  # of the file, with nothing checked yet
 
 
 class ConfigError(GrebeproxyError):
-    """Configuration that cannot be used; the text begins with the faulty key."""
+    """Configuration that cannot be used; the text begins with the faulty key or variable."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,26 +41,27 @@
     """The configuration of one router."""
 
     name: str
-    listen: tuple[str, int]
-    changelog: tuple[str, int]
+    listen: Address
+    changelog: Address
     seed: int
-    sockets: int
+    sockets: int  # descriptors that connections may take
     memory_mb: float
-    known: KnownEvents
+    known: KnownEvents  # the change log's events up to the start
     settings: Settings
     limits: WireLimits
-    admin: tuple[str, int] | None = None  # where operators call
+    admin: Address | None = None  # of the admin endpoint
     listen_fd: int | None = None  # the descriptor of a listening socket that the platform holds
     folder: Path | None = None  # shared with other processes of this router
-    keys: frozenset[str] = frozenset()  # what the file held, as paths
+    peers_file: str | None = None  # the operator file of routers that know each other
+    keys: frozenset[str] = frozenset()  # what the file held, as dotted paths
 
     def check_against(self, earlier: Config) -> None:
-        """Raise ``ConfigError`` where a key is missing that was there: the file may have been cut short."""
+        """Raise ``ConfigError`` where a key of the earlier file is missing: the file may be cut short."""
         for key in sorted(earlier.keys - self.keys):
             raise ConfigError(f"{key}: missing")
 
     def updated_while_serving(self, fresh: Config) -> Config:
-        """This configuration with what may change while serving taken from another one."""
+        """This configuration, with what may change while serving taken from ``fresh``."""
         return replace(
             self,
             changelog=fresh.changelog,
@@ -59,8 +73,21 @@
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """The configuration that the ``BALANCER_*`` variables name; they go before the file."""
-    path = environ.get("BALANCER_CONFIG")
+    """The configuration that the variables name. Raises ``ConfigError``."""
+    document = _read_file(environ.get("BALANCER_CONFIG"))
+    for key, variable in VARIABLE_OF_KEY.items():
+        if environ.get(variable):
+            document[key] = environ[variable]
+    folder = environ.get("TMPDIR")
+    return replace(
+        parse(document),
+        listen_fd=_descriptor(environ.get("BALANCER_SOCKET_FD")),
+        folder=Path(folder) if folder else None,
+        peers_file=environ.get("BALANCER_PEERS") or None,
+    )
+
+
+def _read_file(path: str | None) -> dict[str, object]:
     if not path:
         raise ConfigError("BALANCER_CONFIG: is not set")
     try:
@@ -71,19 +98,11 @@
         raise ConfigError(f"BALANCER_CONFIG: {path}: {error}") from None
     if not isinstance(document, dict):
         raise ConfigError(f"BALANCER_CONFIG: {path}: must hold an object")
-    for key, variable in (
-        ("name", "BALANCER_NAME"),
-        ("listen", "BALANCER_LISTEN"),
-        ("admin", "BALANCER_ADMIN"),
-    ):
-        if environ.get(variable):
-            document[key] = environ[variable]
-    folder = Path(environ["TMPDIR"]) if environ.get("TMPDIR") else None
-    return replace(parse(document), listen_fd=_descriptor(environ.get("BALANCER_SOCKET_FD")), folder=folder)
+    return document
 
 
-def parse(document: dict[str, Any]) -> Config:
-    """Check a configuration and fill in the defaults."""
+def parse(document: Document) -> Config:
+    """Check a configuration and fill in the defaults. Raises ``ConfigError`` for the first fault found."""
     settings = _object(document, "settings")
     limits = document.get("limits", {})
     if not isinstance(limits, dict):
@@ -91,7 +110,9 @@
     sockets = int(_positive(limits, "sockets", DEFAULT_SOCKETS))
     memory_mb = _positive(limits, "memory_mb", DEFAULT_MEMORY_MB)
     known = _known(document)
-    module, wire = _settings(settings)
+    with _type_faults_named("settings."):
+        module_settings = settings_from(settings)
+        wire_limits = wire_limits_from(settings)
     return Config(
         name=str(document.get("name", "grebeproxy")),
         listen=_address(document, "listen"),
@@ -100,57 +121,56 @@
         sockets=sockets,
         memory_mb=memory_mb,
         known=known,
-        settings=module,
-        limits=wire,
+        settings=module_settings,
+        limits=wire_limits,
         keys=frozenset(_key_paths(document)),
         admin=_address(document, "admin") if document.get("admin") else None,
     )
 
 
-def _known(document: dict[str, Any]) -> dict[str, Any]:
-    """The change log's events up to the start, checked."""
-    known: dict[str, Any] = document.get("known", {"seq": 0, "results": []})
-    try:
-        list(known_events(known, lambda ms: ms / 1000))
-    except KeyError as error:
-        raise ConfigError(f"known: {error.args[0]}: missing or not known") from None
-    except (AttributeError, TypeError, ValueError) as error:
-        raise ConfigError(f"known: {error}") from None
+def _known(document: Document) -> KnownEvents:
+    """The change log's events up to the start, checked by decoding them once."""
+    known = cast(KnownEvents, document.get("known", {"seq": 0, "results": []}))
+    with _type_faults_named("known: "):
+        for _ in known_events(known, seconds):
+            pass
     return known
 
 
-def _settings(settings: dict[str, Any]) -> tuple[Settings, WireLimits]:
-    """The settings for the decision module, and the limits of connections."""
+@contextlib.contextmanager
+def _type_faults_named(prefix: str) -> Iterator[None]:
+    """Raise what decoding JSON of the wrong form runs into as ``ConfigError``, behind the prefix."""
     try:
-        return settings_from(settings), wire_limits_from(settings)
+        yield
     except KeyError as error:
-        raise ConfigError(f"settings.{error.args[0]}: missing or not known") from None
+        raise ConfigError(f"{prefix}{error.args[0]}: missing or not known") from None
     except (AttributeError, IndexError, TypeError, ValueError) as error:
-        raise ConfigError(f"settings.{error}") from None
+        raise ConfigError(f"{prefix}{error}") from None
 
 
-def _key_paths(document: Mapping[str, Any], prefix: str = "") -> Iterator[str]:
+def _key_paths(document: Document, prefix: str = "") -> Iterator[str]:
     for key, value in document.items():
-        yield prefix + key
-        if prefix + key in ("limits", "settings", "settings.limits", "settings.obligations"):
-            yield from _key_paths(value, f"{prefix}{key}.")
+        path = prefix + key
+        yield path
+        if path in COMPARED_OBJECTS:
+            yield from _key_paths(cast(Document, value), f"{path}.")
 
 
-def _object(document: dict[str, Any], key: str) -> dict[str, Any]:
+def _object(document: Document, key: str) -> Document:
     value = document.get(key)
     if not isinstance(value, dict):
         raise ConfigError(f"{key}: must be an object")
     return value
 
 
-def _positive(limits: dict[str, Any], key: str, default: float) -> float:
+def _positive(limits: Document, key: str, default: float) -> float:
     value = limits.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not value >= 1:
         raise ConfigError(f"limits.{key}: must be a number of 1 or more")
     return float(value)
 
 
-def _address(document: dict[str, Any], key: str) -> tuple[str, int]:
+def _address(document: Document, key: str) -> Address:
     value = document.get(key)
     if not isinstance(value, str):
         raise ConfigError(f"{key}: must be host:port")
--- a/grebeproxy/net/msgpack_rpc.py
+++ b/grebeproxy/net/msgpack_rpc.py
@@ -25,9 +25,9 @@
 from grebeproxy.net.msgpack_framing import MalformedMessageError, MessageFramer
 from grebeproxy.policy.interface import Idempotency, Settings
 from grebeproxy.shapes.scanner import table_group
+from grebeproxy.units import MS_PER_SECOND
 
 REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2
-MS_PER_SECOND = 1000
 MAX_MS = 3_600_000.0
 MAX_ID = 2**32 - 1
 UNBOUNDED_MB = 1e6  # where the settings give no kind of engine a memory
--- a/grebeproxy/net/resp.py
+++ b/grebeproxy/net/resp.py
@@ -20,8 +20,8 @@
     ToEngine,
 )
 from grebeproxy.settings import report_from
+from grebeproxy.units import MS_PER_SECOND
 
-MS_PER_SECOND = 1000
 CRLF = b"\r\n"
 ANSWER_HEADER = b"*4"  # an array of four bulk strings
 MAX_HEADER_BYTES = 16  # of a line that holds a length, with its end
--- a/grebeproxy/net/timers.py
+++ b/grebeproxy/net/timers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-MS_PER_SECOND = 1000
+from grebeproxy.units import MS_PER_SECOND
 
 
 class Cancellable(Protocol):
--- /dev/null
+++ b/grebeproxy/settings/__init__.py
@@ -0,0 +1,11 @@
+"""The settings of a deployment's routers: from their JSON form to the decision module's ``Settings``.
+
+The simulator adapter and the router on sockets both read them here, so both decide by the same values. The
+JSON keys are named in ``fields`` and mapped once, in ``decode``, ``wire_limits`` and ``load_report``.
+"""
+
+from grebeproxy.settings.decode import SettingsError, settings_from
+from grebeproxy.settings.load_report import report_from
+from grebeproxy.settings.wire_limits import WireLimits, wire_limits_from
+
+__all__ = ["SettingsError", "WireLimits", "report_from", "settings_from", "wire_limits_from"]
--- /dev/null
+++ b/grebeproxy/settings/decode.py
@@ -0,0 +1,214 @@
+"""The decision module's ``Settings`` from their JSON form, one function for each part."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from typing import NamedTuple, cast
+
+from grebeproxy.errors import GrebeproxyError
+from grebeproxy.policy import interface as api
+from grebeproxy.settings.fields import (
+    CategoryFields,
+    FamilyFields,
+    LimitFields,
+    ObligationFields,
+    OrgFields,
+    PriceFields,
+    SettingsFields,
+    StatFields,
+)
+from grebeproxy.settings.load_report import REPORT_NAMES
+from grebeproxy.units import seconds
+
+IDEMPOTENCY = {
+    "retryable": api.Idempotency.IDEMPOTENT,
+    "dedup": api.Idempotency.IDEMPOTENCY_KEY,
+    "fragile": api.Idempotency.NON_IDEMPOTENT,
+}
+POLLED_LIST = "ask"  # a mode in which the router asks for the engine list
+NO_REPORTS = "silent"  # a way of load reports
+
+
+class SettingsError(GrebeproxyError, ValueError):
+    """A settings field that cannot be used; the text begins with the field's name.
+
+    It is also a ``ValueError``, which is what callers caught before it was a class of its own.
+    """
+
+
+class ListedByName(NamedTuple):
+    """Lists that hold a value for each category (the first three) or for each kind of engine."""
+
+    threads: Sequence[int]
+    locks_data_set: Sequence[bool]
+    waits_for_loads: Sequence[bool]
+    cores: Sequence[float]
+    memory_mb: Sequence[float]
+
+
+def settings_from(profile: Mapping[str, object]) -> api.Settings:
+    """The settings of one router.
+
+    Raises ``KeyError`` for a missing key, ``SettingsError`` naming the field, or what Python raises for a
+    value of another type.
+    """
+    # Parts are read in a fixed order: of several faults, operators are told the same one each time.
+    fields = cast(SettingsFields, profile)
+    family = fields.get("familyInfo", {})
+    limits = fields["limits"]
+    obligations = fields["obligations"]
+    prices = fields.get("prices", {})
+    stats = fields.get("stats", {})
+    categories = fields["categories"]
+    lists = _lists(fields, family)
+    _check_numbers(categories, limits)
+    classes = _classes(categories, lists)
+    budget = _attempt_budget(obligations)
+    polls = fields.get("registryMode") == POLLED_LIST
+    return api.Settings(
+        classes=classes,
+        kinds=_kinds(fields["kinds"], lists),
+        balancers=fields["balancers"],
+        index=fields["me"],
+        zone=fields["zone"],
+        zones=tuple(fields["zones"]),
+        tenants=_tenants(fields.get("orgs", [])),
+        over_quota_weight=fields.get("overShareWorth", 1.0),
+        rules=_rules(obligations, budget, polls=polls),
+        prices=_prices(prices),
+        tick=seconds(fields.get("round")),
+        max_attempts=int(limits["mostTries"]),
+        max_retry_after=seconds(limits["maxRetryAfter"]) if limits.get("retryAfter") else None,
+        connect_timeout=seconds(limits["connectTimeout"]) if limits.get("connectTimeout") else None,
+        may_cancel=bool(limits.get("cancel")),
+        may_health_check=bool(limits.get("probing")),
+        may_gossip=bool(limits.get("mayTell")),
+        may_hedge=bool(limits.get("secondCopies")),
+        polls_engine_list=polls,
+        clients_mark_retries=bool(fields.get("clients", {}).get("marksRetry")),
+        memory_granted=bool(family.get("memoryHeeded")),
+        largest_grant=family.get("largestShare") or 1.0,
+        overbooked=api.Overbooked(family.get("overbooked") or "wait"),
+        priorities=bool(family.get("takesPriority")),
+        progress_period=seconds(family["progress"]) if family.get("progress") else None,
+        reports_work=bool(family.get("bills")),
+        reports=_reports(stats),
+    )
+
+
+def _lists(fields: SettingsFields, family: FamilyFields) -> ListedByName:
+    """The lists, with defaults, checked for their lengths."""
+    categories = fields["categories"]
+    threads = family.get("dop") or [1] * len(categories)
+    locks_data_set = family.get("holdsTables") or [False] * len(categories)
+    waits_for_loads = family.get("yieldsToLoads") or [False] * len(categories)
+    kinds = fields["kinds"]
+    cores = family.get("cpuOfKind") or [1.0] * len(kinds)
+    memory_mb = family.get("kindMemoryMb") or [0.0] * len(kinds)
+    _check_length("dop", threads, categories)
+    _check_length("holdsTables", locks_data_set, categories)
+    _check_length("yieldsToLoads", waits_for_loads, categories)
+    _check_length("cpuOfKind", cores, kinds)
+    _check_length("kindMemoryMb", memory_mb, kinds)
+    return ListedByName(threads, locks_data_set, waits_for_loads, cores, memory_mb)
+
+
+def _check_length(key: str, values: Sequence[object], names: Sequence[object]) -> None:
+    if len(values) != len(names):
+        raise SettingsError(f"familyInfo.{key}: {len(values)} values for {len(names)}")
+
+
+def _check_numbers(categories: list[CategoryFields], limits: LimitFields) -> None:
+    """Check the numbers without which no request could be served."""
+    for index, category in enumerate(categories):
+        where = f"categories.{index}."
+        _check_above_zero(category["aim"], f"{where}aim")
+        _check_above_zero(category["deadline"], f"{where}deadline")
+    most = limits["mostTries"]
+    _check_above_zero(most, "limits.mostTries")
+    if float(most) != int(most):
+        raise SettingsError("limits.mostTries: must be a whole number")
+
+
+def _check_above_zero(value: object, where: str) -> None:
+    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < float("inf"):
+        raise SettingsError(f"{where}: must be a number above 0")
+
+
+def _classes(categories: list[CategoryFields], lists: ListedByName) -> tuple[api.QueryClass, ...]:
+    return tuple(
+        api.QueryClass(
+            name=category["name"],
+            latency_objective=seconds(category["aim"]),
+            deadline=seconds(category["deadline"]),
+            priority_weight=category.get("importance", 1.0),
+            late_weight_factor=category.get("lateShare", 0.0),
+            objective_stretch=category.get("aimStretch", 0.0),
+            idempotency=IDEMPOTENCY[category["effect"]],
+            scope=api.Scope(category.get("group", "all")),
+            retry_window=seconds(category.get("window")),
+            ordered_by_key=bool(category.get("inTurn")),
+            allowed_zones=_names(category.get("confinedTo")),
+            allowed_kinds=_names(category.get("servedOn")),
+            threads=lists.threads[index],
+            locks_data_set=lists.locks_data_set[index],
+            waits_for_loads=lists.waits_for_loads[index],
+            streams=bool(category.get("stream")),
+        )
+        for index, category in enumerate(categories)
+    )
+
+
+def _names(values: list[str] | None) -> frozenset[str] | None:
+    return frozenset(values) if values else None
+
+
+def _kinds(names: list[str], lists: ListedByName) -> tuple[api.EngineKind, ...]:
+    return tuple(
+        api.EngineKind(name, lists.cores[index], lists.memory_mb[index]) for index, name in enumerate(names)
+    )
+
+
+def _tenants(orgs: list[OrgFields]) -> tuple[api.Tenant, ...]:
+    return tuple(api.Tenant(org["name"], org["allowancePerS"], org.get("share", 0.0)) for org in orgs)
+
+
+def _attempt_budget(obligations: ObligationFields) -> api.AttemptBudget | None:
+    if "countedOver" not in obligations:
+        return None
+    return api.AttemptBudget(
+        window=seconds(obligations["countedOver"]),
+        floor=obligations.get("extraFloor", 0.0),
+        share=obligations.get("extraPerRequest", 0.0),
+    )
+
+
+def _rules(obligations: ObligationFields, budget: api.AttemptBudget | None, *, polls: bool) -> api.Rules:
+    return api.Rules(
+        answer_slack=seconds(obligations.get("answerSlack")),
+        drain_grace=seconds(obligations["stopSendingWithin"]),
+        slow_start_fraction=obligations["coldFrom"],
+        slow_start_time=seconds(obligations["rampTime"]),
+        overload_factor=obligations["overloadFactor"],
+        overload_time=seconds(obligations["overloadFor"]),
+        key_settle_time=seconds(obligations.get("keyQuiet")),
+        list_max_age=seconds(obligations.get("askWithin")) if polls else None,
+        attempt_budget=budget,
+    )
+
+
+def _prices(prices: PriceFields) -> api.Prices:
+    return api.Prices(
+        cross_zone=prices.get("crossZone", 0.0),
+        waste=prices.get("waste", 0.0),
+        probe=prices.get("probe", 0.0),
+        late_fail=prices.get("lateFail", 0.0),
+        peer=prices.get("peer", 0.0),
+    )
+
+
+def _reports(stats: StatFields) -> tuple[str, ...]:
+    """The columns of load reports, under the module's names; none where engines send no reports."""
+    if stats.get("via") == NO_REPORTS:
+        return ()
+    return tuple(REPORT_NAMES[column] for column in stats.get("columns", ()) if column in REPORT_NAMES)
--- /dev/null
+++ b/grebeproxy/settings/load_report.py
@@ -0,0 +1,37 @@
+"""Load reports of engines, from the operators' column names to the decision module's."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from grebeproxy.units import seconds
+
+REPORT_NAMES = {
+    "busy_reqs": "in_flight",
+    "pending": "waiting",
+    "cpu_share": "cpu",
+    "svc_ms": "latency",
+    "served_ps": "served_rate",
+    "failed_ps": "error_rate",
+    "x0": "memory_granted",
+    "x1": "disks_busy",
+    # Shorter names that some columns have on sockets.
+    "inflight": "in_flight",
+    "queue": "waiting",
+    "util": "cpu",
+    "latency_ms": "latency",
+    "qps": "served_rate",
+    "eps": "error_rate",
+}
+COLUMNS_IN_MS = {"svc_ms", "latency_ms"}
+
+
+def report_from(columns: Mapping[str, float] | None) -> dict[str, float] | None:
+    """A load report under the module's names, times in seconds; unknown columns are left out."""
+    if not columns:
+        return None
+    return {
+        REPORT_NAMES[column]: seconds(value) if column in COLUMNS_IN_MS else value
+        for column, value in columns.items()
+        if column in REPORT_NAMES
+    }
--- /dev/null
+++ b/grebeproxy/settings/wire_limits.py
@@ -0,0 +1,35 @@
+"""The limits that only a router on real connections has to keep by itself."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import cast
+
+from grebeproxy.settings.fields import SettingsFields
+from grebeproxy.units import seconds
+
+DEFAULT_CONNECT_TIMEOUT = 1.0  # seconds
+DEFAULT_IDLE_TIMEOUT = 30.0  # seconds
+DEFAULT_MAX_OPEN = 10_000  # requests
+
+
+@dataclass(frozen=True, slots=True)
+class WireLimits:
+    """The limits of connections and open requests; times in seconds."""
+
+    connect_timeout: float
+    idle_timeout: float
+    multiplex: int
+    max_open: int
+
+
+def wire_limits_from(profile: Mapping[str, object]) -> WireLimits:
+    """The limits in the settings' JSON form. Raises ``KeyError`` where there are none."""
+    limits = cast(SettingsFields, profile)["limits"]
+    return WireLimits(
+        connect_timeout=seconds(limits.get("connectTimeout")) or DEFAULT_CONNECT_TIMEOUT,
+        idle_timeout=seconds(limits.get("connIdle")) or DEFAULT_IDLE_TIMEOUT,
+        multiplex=max(1, int(limits.get("multiplex") or 1)),
+        max_open=int(limits.get("maxOpen") or DEFAULT_MAX_OPEN),
+    )
--- a/tests/test_peers_lab.py
+++ b/tests/test_peers_lab.py
@@ -133,7 +133,7 @@
 
 def test_where_it_is_off_nothing_of_it_is_imported() -> None:
     text = (
-        "import sys, grebeproxy.__main__; assert grebeproxy.__main__.peers('n', None) is None; "
+        "import sys, grebeproxy.__main__; assert grebeproxy.__main__.peers_service('n', None) is None; "
         "print([m for m in sys.modules if m.startswith(('grebeproxy.peers', 'grebeproxy.membership', "
         "'grebeproxy.replica', 'hcl2', 'structlog'))])"
     )
