--- a/grebeproxy/shapes/fingerprint.py
+++ b/grebeproxy/shapes/fingerprint.py
@@ -1,6 +1,6 @@
-"""The shape of a statement: what is left when literals, list lengths and the schema's number are taken out.
+"""The shape of a statement: what is left without literals, list lengths and the schema's number.
 
-Two statements that differ only in these share a shape; they differ in it by a table, a join or an aggregate.
+Statements that differ only in these have the same shape; another table, join or aggregate is another shape.
 """
 
 from __future__ import annotations
@@ -9,12 +9,14 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from grebeproxy.shapes.scanner import MOST_SCANNED, Part, Token, numbered_schema, scan
+from grebeproxy.shapes.scanner import MAX_SCANNED_BYTES, Token, TokenKind, numbered_schema, scan
 
-VALUE, GROUP = b"?", b"#"  # stand for a literal or a parameter, and for the number of a schema
-SIGNS = (b"-", b"+")
+LITERAL = b"?"  # stands for a literal or a parameter
+SCHEMA_NUMBER = b"#"  # stands for the number of a schema
+MINUS = b"-"
+SIGNS = (MINUS, b"+")
 # After these a sign belongs to the number behind it; after a name or a value it is an operator.
-BEFORE_SIGNED = frozenset((b"(", b",", b"=", b"<", b">", b"[", b"+", b"-", b"*", b"/", b"%"))
+SYMBOLS_BEFORE_SIGNED = frozenset((b"(", b",", b"=", b"<", b">", b"[", b"+", b"-", b"*", b"/", b"%"))
 WORDS_BEFORE_SIGNED = frozenset(
     (
         b"and",
@@ -35,13 +37,19 @@
         b"where",
     )
 )
-PLAIN = re.compile(rb"[a-z_][a-z0-9_$]*")  # needs no quotes
-MOST_NUMBERS = 32  # of a statement that are kept
+UNQUOTED_NAME = re.compile(rb"[a-z_][a-z0-9_$]*")  # a name that needs no quotes
+PARAMETER_SIGNS = (b":", b"@")  # before a name: ``:name``, ``@name``
+NUMBERED_PARAMETER_SIGN = b"$"  # before a number: ``$1``
+LIST_SO_FAR = [LITERAL, b","]
+ROW = [b"(", LITERAL, b")"]
+TWO_ROWS = [*ROW, b",", *ROW]
+MAX_NUMBERS = 32  # of a statement that are kept
+DIGEST_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """A statement's shape, and the numbers that stood in it, in order: the first few, schemas' included."""
+    """A statement's shape, and its first ``MAX_NUMBERS`` numbers in order, those of schemas included."""
 
     digest: bytes
     text: bytes
@@ -49,77 +57,98 @@
 
 
 def shape_of(statement: bytes) -> Shape | None:
-    """The shape; none for a statement that holds nothing or is too long to be read to its end."""
-    if len(statement) > MOST_SCANNED:
+    """The shape; ``None`` for a statement that is empty, or longer than ``MAX_SCANNED_BYTES``."""
+    if len(statement) > MAX_SCANNED_BYTES:
         return None
-    words: list[bytes] = []
-    numbers: list[float] = []
+    builder = _ShapeBuilder()
     for token in scan(statement):
-        _take(words, numbers, token)
-    while words and words[-1] == b";":
-        words.pop()
-    if not words:
+        builder.add(token)
+    return builder.shape()
+
+
+class _ShapeBuilder:
+    """Puts a shape together, token by token."""
+
+    def __init__(self) -> None:
+        self._words: list[bytes] = []  # of the shape
+        self._numbers: list[float] = []
+
+    def shape(self) -> Shape | None:
+        """The shape without semicolons at its end; ``None`` where nothing else was added."""
+        words = self._words
+        while words and words[-1] == b";":
+            words.pop()
+        if not words:
+            return None
+        text = b" ".join(words)
+        digest = blake2b(text, digest_size=DIGEST_BYTES).digest()
+        return Shape(digest, text, tuple(self._numbers[:MAX_NUMBERS]))
+
+    def add(self, token: Token) -> None:
+        """Add a token of the statement."""
+        kind, text = token
+        if kind is TokenKind.NUMBER:
+            self._add_number(text)
+        elif kind is TokenKind.STRING:
+            self._add_literal()
+        elif kind is TokenKind.NAME:
+            self._add_name(text.lower())
+        elif kind is TokenKind.QUOTED:
+            # As in the engines, a quoted name that needs no quotes is the same as without them.
+            self._add_name(text if UNQUOTED_NAME.fullmatch(text) else b'"' + text + b'"')
+        else:
+            self._add_symbol(text)
+
+    def _add_number(self, text: bytes) -> None:
+        factor = -1.0 if self._pop_sign() == MINUS else 1.0
+        value = _value(text)
+        if value is not None:
+            self._numbers.append(factor * value)
+        self._add_literal()
+
+    def _pop_sign(self) -> bytes | None:
+        """Remove the sign that belongs to the number being added, and return it."""
+        match self._words:
+            case [*_, before, sign] if sign in SIGNS:
+                if before in SYMBOLS_BEFORE_SIGNED or before in WORDS_BEFORE_SIGNED:
+                    return self._words.pop()
         return None
-    text = b" ".join(words)
-    return Shape(blake2b(text, digest_size=16).digest(), text, tuple(numbers[:MOST_NUMBERS]))
-
-
-def _take(words: list[bytes], numbers: list[float], token: Token) -> None:
-    part, text = token
-    if part is Part.NUMBER:
-        sign = -1.0 if _signed(words) == b"-" else 1.0
-        if (value := _value(text)) is not None:
-            numbers.append(sign * value)
-        _literal(words)
-    elif part is Part.STRING:
-        _literal(words)
-    elif part is Part.NAME:
-        _name(words, text.lower())
-    elif part is Part.QUOTED:
-        # As the engines do: a quoted name that needs no quotes is the name.
-        _name(words, text if PLAIN.fullmatch(text) else b'"' + text + b'"')
-    elif text == b"." and words and (schema := numbered_schema(words[-1])):
-        words[-1] = schema[1] + b"_" + GROUP
-        numbers.append(float(schema[2]))
-        words.append(text)
-    elif text == b")":
-        words.append(text)
-        _fold_row(words)
-    else:
-        words.append(text)
-
-
-def _name(words: list[bytes], name: bytes) -> None:
-    """A name; behind a sign that marks a parameter (``:name``, ``@name``) it is one, and a literal's like."""
-    if words and words[-1] in (b":", b"@") and words[-2:-1] != [b":"]:
-        words.pop()
-        _literal(words)
-    else:
-        words.append(name)
-
 
-def _signed(words: list[bytes]) -> bytes:
-    """Take off the sign that belongs to the number now read, if one does."""
-    if len(words) < 2 or words[-1] not in SIGNS:
-        return b""
-    before = words[-2]
-    return words.pop() if before in BEFORE_SIGNED or before in WORDS_BEFORE_SIGNED else b""
-
-
-def _literal(words: list[bytes]) -> None:
-    """A literal; one that continues a list of them adds nothing."""
-    if words and words[-1] == b"$":  # $1
-        words.pop()
-    if words[-2:] == [VALUE, b","]:
-        words.pop()
-    else:
-        words.append(VALUE)
-
-
-def _fold_row(words: list[bytes]) -> None:
-    """Rows of literals, as behind VALUES, add nothing after the first."""
-    if words[-7:] == [b"(", VALUE, b")", b",", b"(", VALUE, b")"]:
-        del words[-4:]
+    def _add_literal(self) -> None:
+        """Add a literal; one that continues a list of them adds nothing."""
+        words = self._words
+        if words and words[-1] == NUMBERED_PARAMETER_SIGN:
+            words.pop()
+        if words[-len(LIST_SO_FAR) :] == LIST_SO_FAR:
+            words.pop()
+        else:
+            words.append(LITERAL)
+
+    def _add_name(self, name: bytes) -> None:
+        """Add a name; one behind a parameter's sign is a parameter, which counts as a literal."""
+        words = self._words
+        # Behind two colons it is the type of a cast.
+        if words and words[-1] in PARAMETER_SIGNS and words[-2:-1] != [b":"]:
+            words.pop()
+            self._add_literal()
+        else:
+            words.append(name)
+
+    def _add_symbol(self, text: bytes) -> None:
+        words = self._words
+        if text == b"." and words:
+            self._replace_schema_number()
+        words.append(text)
+        # A row of literals, as behind VALUES, adds nothing after the first.
+        if text == b")" and words[-len(TWO_ROWS) :] == TWO_ROWS:
+            del words[-len(ROW) - 1 :]
+
+    def _replace_schema_number(self) -> None:
+        """Replace the number of the schema whose name was added last, if it has one."""
+        schema = numbered_schema(self._words[-1])
+        if schema is not None:
+            self._words[-1] = schema[1] + b"_" + SCHEMA_NUMBER
+            self._numbers.append(float(schema[2]))
 
 
 def _value(text: bytes) -> float | None:
--- a/grebeproxy/shapes/scanner.py
+++ b/grebeproxy/shapes/scanner.py
@@ -1,6 +1,6 @@
-"""Splits a statement into what SQL tells apart, on bytes and within bounds, and finds its group of tables.
+"""Splits a statement into SQL tokens, on bytes and within bounds, and finds its group of tables.
 
-One scanner for all that reads statements: what hides names (strings, comments) is known here only.
+The only place that knows what may hide names: strings and comments.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from enum import Enum, auto
 
-# In the order that alternatives are tried: what hides names, names, and all else a character at a time.
+# Alternatives in the order they are tried: what may hide names, names, and all else a character at a time.
 TOKENS = re.compile(
     rb"""(?P<skip> --[^\n]* | \s+ )
        | (?P<string> '(?:[^']|'')*'? | \$(?P<tag>[A-Za-z_]*)\$.*?(?:\$(?P=tag)\$|\Z) )
@@ -20,14 +20,14 @@
        | (?P<other> . )""",
     re.VERBOSE | re.DOTALL,
 )
-COMMENT_EDGE = re.compile(rb"/\*|\*/")
+COMMENT_DELIMITER = re.compile(rb"/\*|\*/")
 SCHEMA = re.compile(rb"(.*)_(\d{1,9})", re.DOTALL)
-STAGING = b"staging"
-MOST_SCANNED = 16 * 1024  # a longer statement is read so far only: reading must not stall the loop
-TABLE_WORDS = {b"from", b"join", b"into", b"update", b"table", b"using", b"only", b"truncate"}
+STAGING_SCHEMA = b"staging"  # its number says nothing of the data
+MAX_SCANNED_BYTES = 16 * 1024  # of a statement; the rest is ignored, as scanning must not stall the loop
+WORDS_BEFORE_TABLE = {b"from", b"join", b"into", b"update", b"table", b"using", b"only", b"truncate"}
 
 
-class Part(Enum):
+class TokenKind(Enum):
     """What a token is."""
 
     NAME = auto()
@@ -37,55 +37,60 @@
     OTHER = auto()
 
 
-PARTS = {part.name.lower(): part for part in Part}  # by the group of the pattern that found it
-Token = tuple[Part, bytes]  # a quoted name stands without its quotes
+KINDS = {kind.name.lower(): kind for kind in TokenKind}  # by the group of the pattern that matched
+Token = tuple[TokenKind, bytes]  # a plain tuple, as each statement makes many; quoted names without quotes
 
 
 def scan(statement: bytes) -> Iterator[Token]:
-    """The tokens of a statement, as far as it is read; comments and white space are left out."""
-    statement = statement[:MOST_SCANNED]
-    at = 0
-    while found := TOKENS.match(statement, at):
-        at = found.end()
-        part = PARTS.get(found.lastgroup or "")
-        if part is not None:
-            yield part, found[0][1:-1] if part is Part.QUOTED else found[0]
+    """The tokens of a statement's first ``MAX_SCANNED_BYTES``, without comments and white space."""
+    statement = statement[:MAX_SCANNED_BYTES]
+    position = 0
+    while found := TOKENS.match(statement, position):
+        position = found.end()
+        kind = KINDS.get(found.lastgroup or "")
+        if kind is not None:
+            yield kind, found[0][1:-1] if kind is TokenKind.QUOTED else found[0]
         elif found.lastgroup == "comment":
-            at = _after_comment(statement, at)
+            position = _comment_end(statement, position)
 
 
 def numbered_schema(name: bytes) -> re.Match[bytes] | None:
-    """The parts of a schema's name before and behind the underscore, where it has a number that counts."""
+    """A match whose groups are a schema's name and number; ``None`` without a number, and for staging."""
     found = SCHEMA.fullmatch(name)
-    return found if found and found[1].lower() != STAGING else None
+    return found if found and found[1].lower() != STAGING_SCHEMA else None
 
 
 def table_group(statement: bytes) -> int | None:
-    """The number after the underscore in the name of the schema that is read or written, if there is one.
+    """The number in the name of the schema that a statement reads or writes; ``None`` where it has none.
 
-    What stands behind a word such as FROM goes before other names: those may be columns behind an alias.
+    A name behind a word such as FROM takes precedence over others, which may be columns behind an alias.
     """
-    first: int | None = None
-    before, dotted = b"", False  # the name just read, and whether a dot came after it
-    table = table_next = False  # the name just read stands, or the next one would stand, for a table
-    for part, text in scan(statement):
-        if part in (Part.NAME, Part.QUOTED):
-            if dotted and (schema := numbered_schema(before)):
-                if table:
+    first: int | None = None  # of a name that may not be a table's
+    previous = b""  # the name before this token
+    dotted = False  # a dot follows ``previous``
+    is_table = False  # ``previous`` is part of a table's name
+    table_follows = False  # the next name is part of a table's name
+    for kind, text in scan(statement):
+        if kind in (TokenKind.NAME, TokenKind.QUOTED):
+            if dotted and (schema := numbered_schema(previous)):
+                if is_table:
                     return int(schema[2])
                 first = int(schema[2]) if first is None else first
-            table = table_next or (dotted and table)
-            table_next = part is Part.NAME and text.lower() in TABLE_WORDS
-            before, dotted = text, False
-        elif part in (Part.OTHER, Part.NUMBER):
-            dotted = text == b"." and bool(before)
-            before, table_next = before if dotted else b"", False
+            is_table = table_follows or (dotted and is_table)
+            table_follows = kind is TokenKind.NAME and text.lower() in WORDS_BEFORE_TABLE
+            previous = text
+            dotted = False
+        elif kind in (TokenKind.OTHER, TokenKind.NUMBER):
+            dotted = text == b"." and bool(previous)
+            previous = previous if dotted else b""
+            table_follows = False
     return first
 
 
-def _after_comment(statement: bytes, at: int) -> int:
-    """Where a block comment ends; they nest."""
+def _comment_end(statement: bytes, position: int) -> int:
+    """Where the block comment ends in which ``position`` is; comments nest."""
     depth = 1
-    while depth and (edge := COMMENT_EDGE.search(statement, at)):
-        depth, at = depth + (1 if edge[0] == b"/*" else -1), edge.end()
-    return at if not depth else len(statement)
+    while depth and (delimiter := COMMENT_DELIMITER.search(statement, position)):
+        depth += 1 if delimiter[0] == b"/*" else -1
+        position = delimiter.end()
+    return position if not depth else len(statement)
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from grebeproxy.shapes.fingerprint import MOST_NUMBERS, shape_of
-from grebeproxy.shapes.scanner import MOST_SCANNED
+from grebeproxy.shapes.fingerprint import MAX_NUMBERS, shape_of
+from grebeproxy.shapes.scanner import MAX_SCANNED_BYTES
 
 LITERALS = st.one_of(
     st.integers(-(10**9), 10**9).map(str),
@@ -114,7 +114,7 @@
     shape = shape_of(b"SELECT a FROM ops_17.t WHERE b = -5 AND c = 2.5 LIMIT 10")
     assert shape and shape.numbers == (17.0, -5.0, 2.5, 10.0)
     many = shape_of(b"SELECT " + b"1," * 500 + b"1")
-    assert many and len(many.numbers) == MOST_NUMBERS
+    assert many and len(many.numbers) == MAX_NUMBERS
 
 
 @given(st.binary(max_size=400))
@@ -123,7 +123,7 @@
     assert first == again
 
 
-@pytest.mark.parametrize("statement", [b"", b" ; ", b"-- nothing", b"x" * (MOST_SCANNED + 1)])
+@pytest.mark.parametrize("statement", [b"", b" ; ", b"-- nothing", b"x" * (MAX_SCANNED_BYTES + 1)])
 def test_what_holds_nothing_or_too_much_has_no_shape(statement: bytes) -> None:
     assert shape_of(statement) is None
 
@@ -131,16 +131,16 @@
 @pytest.mark.parametrize(
     "statement",
     [
-        b"(" * MOST_SCANNED,
-        b"'" * (MOST_SCANNED - 1),
-        b'"' * (MOST_SCANNED - 1),
-        b"/*" * (MOST_SCANNED // 2),
-        b"$a" * (MOST_SCANNED // 2),
-        b"$$" * (MOST_SCANNED // 2),
-        b"1e" * (MOST_SCANNED // 2),
+        b"(" * MAX_SCANNED_BYTES,
+        b"'" * (MAX_SCANNED_BYTES - 1),
+        b'"' * (MAX_SCANNED_BYTES - 1),
+        b"/*" * (MAX_SCANNED_BYTES // 2),
+        b"$a" * (MAX_SCANNED_BYTES // 2),
+        b"$$" * (MAX_SCANNED_BYTES // 2),
+        b"1e" * (MAX_SCANNED_BYTES // 2),
         b"(1)," * 4000,
-        b"-" * MOST_SCANNED,
-        b"\xff" * MOST_SCANNED,
+        b"-" * MAX_SCANNED_BYTES,
+        b"\xff" * MAX_SCANNED_BYTES,
     ],
 )
 def test_the_worst_statement_is_read_in_bounded_time(statement: bytes) -> None:
