--- a/grebeproxy/net/msgpack_framing.py
+++ b/grebeproxy/net/msgpack_framing.py
@@ -36,40 +36,32 @@
     values: int
 
 
+def _numbers(*widths: int) -> list[_Header]:
+    """The headers of numbers of so many bytes."""
+    return [_Header(1 + width, 0, 0) for width in widths]
+
+
+def _sized(*widths: int, values_per_length: int = 0) -> list[_Header]:
+    """The headers whose length takes so many bytes."""
+    return [_Header(1 + width, width, values_per_length) for width in widths]
+
+
+_NO_DATA = _Header(1, 0, 0)
 _NOT_ALLOWED = _Header(0, 0, 0)
 _HEADERS = (  # by the first byte, from 0xc0 to 0xdf
-    _Header(1, 0, 0),  # nil
+    _NO_DATA,  # nil
     _NOT_ALLOWED,
-    _Header(1, 0, 0),  # false
-    _Header(1, 0, 0),  # true
-    _Header(2, 1, 0),  # bin 8
-    _Header(3, 2, 0),  # bin 16
-    _Header(5, 4, 0),  # bin 32
-    _NOT_ALLOWED,  # ext 8
-    _NOT_ALLOWED,  # ext 16
-    _NOT_ALLOWED,  # ext 32
-    _Header(5, 0, 0),  # float 32
-    _Header(9, 0, 0),  # float 64
-    _Header(2, 0, 0),  # uint 8
-    _Header(3, 0, 0),  # uint 16
-    _Header(5, 0, 0),  # uint 32
-    _Header(9, 0, 0),  # uint 64
-    _Header(2, 0, 0),  # int 8
-    _Header(3, 0, 0),  # int 16
-    _Header(5, 0, 0),  # int 32
-    _Header(9, 0, 0),  # int 64
-    _NOT_ALLOWED,  # fixext 1
-    _NOT_ALLOWED,  # fixext 2
-    _NOT_ALLOWED,  # fixext 4
-    _NOT_ALLOWED,  # fixext 8
-    _NOT_ALLOWED,  # fixext 16
-    _Header(2, 1, 0),  # str 8
-    _Header(3, 2, 0),  # str 16
-    _Header(5, 4, 0),  # str 32
-    _Header(3, 2, 1),  # array 16
-    _Header(5, 4, 1),  # array 32
-    _Header(3, 2, 2),  # map 16
-    _Header(5, 4, 2),  # map 32
+    _NO_DATA,  # false
+    _NO_DATA,  # true
+    *_sized(1, 2, 4),  # bin 8, 16 and 32
+    *[_NOT_ALLOWED] * 3,  # ext 8, 16 and 32
+    *_numbers(4, 8),  # float 32 and 64
+    *_numbers(1, 2, 4, 8),  # uint 8, 16, 32 and 64
+    *_numbers(1, 2, 4, 8),  # int 8, 16, 32 and 64
+    *[_NOT_ALLOWED] * 5,  # fixext 1, 2, 4, 8 and 16
+    *_sized(1, 2, 4),  # str 8, 16 and 32
+    *_sized(2, 4, values_per_length=1),  # array 16 and 32
+    *_sized(2, 4, values_per_length=2),  # map 16 and 32
 )
 
 
