--- a/grebeproxy/net/connections/change_log.py
+++ b/grebeproxy/net/connections/change_log.py
@@ -7,6 +7,7 @@
 from grebeproxy.net import changelog, events
 from grebeproxy.net.connections.base import Connection, Host
 from grebeproxy.net.messages import ChangeLogUpdate
+from grebeproxy.policy.interface import Settings
 
 
 class ChangeLogConnection(Connection):
@@ -16,6 +17,7 @@
     """
 
     peer = "change-log"
+    decoder: changelog.Decoder
 
     def __init__(self, host: Host, decoder: changelog.Decoder, seq: int, dial: int) -> None:
         super().__init__(host, decoder)
@@ -35,3 +37,7 @@
     def close_event(self, reason: str) -> events.Event:
         """The connection is closed, or could not be made."""
         return events.ChangeLogClosed(reason, self._dial)
+
+    def retune(self, settings: Settings) -> None:
+        """Decode by these settings from the next event on."""
+        self.decoder.retune(settings)
--- a/grebeproxy/net/connections/client.py
+++ b/grebeproxy/net/connections/client.py
@@ -38,6 +38,7 @@
     """A client's connection."""
 
     peer = "client"
+    decoder: msgpack_rpc.Decoder
 
     def __init__(
         self, host: Host, number: int, settings: Settings, bounds: Bounds, clients: ClientConnections
@@ -76,6 +77,10 @@
         """Rate-limited, because some clients send nothing else."""
         self.host.log_limited(text)
 
+    def retune(self, settings: Settings) -> None:
+        """Decode by these settings from the next message on."""
+        self.decoder.retune(settings)
+
     def write(self, data: bytes) -> None:
         """Send an answer; a client that reads none of its answers loses its connection.
 
--- a/grebeproxy/net/runtime.py
+++ b/grebeproxy/net/runtime.py
@@ -11,7 +11,6 @@
 from collections.abc import Callable
 from dataclasses import replace
 from itertools import count
-from typing import Protocol, cast
 
 from grebeproxy.config import Config, ConfigError
 from grebeproxy.net import admission, changelog, events, manual_overrides, router
@@ -25,10 +24,10 @@
 )
 from grebeproxy.net.dialer import Dialer
 from grebeproxy.net.effects import carry_out
-from grebeproxy.net.override_file import OverrideFile
 from grebeproxy.net.listener import Listener, adopt, bind
 from grebeproxy.net.log_limit import RateLimitedLog
 from grebeproxy.net.log_line import log_line
+from grebeproxy.net.override_file import OverrideFile
 from grebeproxy.net.override_sync import OverrideSync
 from grebeproxy.net.timers import LoopTimers
 from grebeproxy.policy import Choice
@@ -37,13 +36,6 @@
 LOG = logging.getLogger("grebeproxy")
 
 
-class Retunable(Protocol):
-    """A decoder that depends on the settings."""
-
-    def retune(self, settings: Settings) -> None:
-        """Use these settings from the next message on."""
-
-
 class Runtime:
     """Runs one router on an event loop. Tests pass their own ``timers``."""
 
@@ -259,10 +251,12 @@
         else:  # keys differ that take effect at the next start only
             self.log(log_line("router.configuration.reloaded", restart_needed="true"))
         if before.settings != fresh.settings:
-            self._retune_decoders(fresh.settings)
+            self._retune(fresh.settings)
         self.feed(events.Reloaded(fresh.changelog, fresh.settings, fresh.limits))
 
-    def _retune_decoders(self, settings: Settings) -> None:
-        for connection in (*self.clients.values(), self._change_log):
-            if connection is not None:
-                cast(Retunable, connection.decoder).retune(settings)
+    def _retune(self, settings: Settings) -> None:
+        """Have connections decode by these settings."""
+        for client in self.clients.values():
+            client.retune(settings)
+        if self._change_log is not None:
+            self._change_log.retune(settings)
