--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -17,7 +17,7 @@
 from grebeproxy.policy.interface import Tenant
 
 SETTINGS = make_settings(tenants=(Tenant("a", 10.0),))
-MOST_HELD = 64 * 1024 + 4096  # bytes that a decoder may keep of what is not whole
+MAX_BUFFERED = 64 * 1024 + 4096  # bytes that a decoder may buffer of incomplete messages
 
 Decoder = Callable[[], Any]
 
@@ -36,7 +36,7 @@
     try:
         for part in parts:
             decoded += decoder.feed(part)
-            assert decoder.partial <= MOST_HELD
+            assert decoder.partial <= MAX_BUFFERED
     except messages.BadFrameError as error:
         return decoded, str(error)
     return decoded, None
@@ -64,13 +64,13 @@
 )
 
 
-def said_by_client(request: tuple[int, str, dict[str, str], bytes]) -> bytes:
+def encode_request(request: tuple[int, str, dict[str, str], bytes]) -> bytes:
     number, cls, fields, body = request
     packed: bytes = msgpack.packb([0, number, cls, [fields, body]])
     return packed
 
 
-def said_by_engine(answer: tuple[str, str, str, bytes]) -> bytes:
+def encode_answer(answer: tuple[str, str, str, bytes]) -> bytes:
     words: tuple[Any, ...] = answer
     packed: bytes = hiredis.pack_command(words)
     return packed
@@ -88,10 +88,10 @@
 def test_requests_are_read_as_they_were_meant_however_they_are_cut(
     requests: list[tuple[int, str, dict[str, str], bytes]],
 ) -> None:
-    data = b"".join(map(said_by_client, requests))
+    data = b"".join(map(encode_request, requests))
     every_cut(client, data)
-    calls, trouble = read(client(), [data])
-    assert trouble is None
+    calls, error = read(client(), [data])
+    assert error is None
     for call, (number, cls, fields, body) in zip(calls, requests, strict=True):
         assert isinstance(call, messages.Call)
         assert (call.msg, call.cls, call.txn, call.body) == (number, cls, fields["txn"], body)
@@ -103,10 +103,10 @@
 def test_answers_are_read_as_they_were_meant_however_they_are_cut(
     answers: list[tuple[str, str, str, bytes]],
 ) -> None:
-    data = b"".join(map(said_by_engine, answers))
+    data = b"".join(map(encode_answer, answers))
     every_cut(engine, data)
-    read_, trouble = read(engine(), [data])
-    assert trouble is None
+    read_, error = read(engine(), [data])
+    assert error is None
     for got, (txn, word, fields, body) in zip(read_, answers, strict=True):
         assert (got.txn, got.kind, got.body) == (txn, resp.ANSWER_KINDS[word.encode()], body)
         assert got.pages == (2 if "count=2" in fields else 1) and got.page == (3 if "pos=3" in fields else 0)
@@ -115,8 +115,8 @@
 MAKERS = pytest.mark.parametrize(
     ("make", "good"),
     [
-        (client, said_by_client((1, "short", {"txn": "a" * 16, "limit": "10", "team": "a"}, b"x"))),
-        (engine, said_by_engine(("a" * 16, "ok", "count=2", b"1\t2\t3\n"))),
+        (client, encode_request((1, "short", {"txn": "a" * 16, "limit": "10", "team": "a"}, b"x"))),
+        (engine, encode_answer(("a" * 16, "ok", "count=2", b"1\t2\t3\n"))),
     ],
     ids=["client", "engine"],
 )
@@ -151,5 +151,5 @@
     endless = b"\x94\x00\x01\xa5short\x92\x80\xc6\xff\xff\xff\xff"
     for head in (good[:20], endless, b"*4\r\n$16\r\n", b"$", b"*"):
         decoder = make()
-        _, trouble = read(decoder, [head, *[b"x" * 4096] * 64])
-        assert trouble is not None
+        _, error = read(decoder, [head, *[b"x" * 4096] * 64])
+        assert error is not None
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -48,11 +48,11 @@
 
 
 def test_a_newcomer_can_try_it_and_sigterm_ends_it_in_order(tmp_path: Path) -> None:
-    told = with_changes({"listen": free_address(), "changelog": free_address()})
-    for entry in told["known"]["results"][0]["fleet"]["endpoints"]:
+    document = with_changes({"listen": free_address(), "changelog": free_address()})
+    for entry in document["known"]["results"][0]["fleet"]["endpoints"]:
         entry["address"] = free_address()
     path = tmp_path / "config.json"
-    path.write_bytes(orjson.dumps(told))
+    path.write_bytes(orjson.dumps(document))
     engines = start(str(EXAMPLES / "toy_engines.py"), str(path))
     assert first_line(engines) == "toy engines: ready\n"
     router = start("-m", "grebeproxy", BALANCER_CONFIG=str(path))
@@ -77,9 +77,9 @@
     router = start("-m", "grebeproxy", descriptors=40, BALANCER_CONFIG=str(path))
     try:
         assert router.stdout is not None and any("router.listener.opened" in line for line in router.stdout)
-        crowd = [connect(address) for _ in range(60)]
-        assert serves(crowd[0])
-        for client in crowd:
+        clients = [connect(address) for _ in range(60)]
+        assert serves(clients[0])
+        for client in clients:
             client.close()
         # The descriptors come back one by one; until then a new connection may be closed at once.
         assert any(serves(connect(address)) for _ in range(1000))
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -22,7 +22,7 @@
     return (int(user) + int(system)) / TICKS
 
 
-def probed(address: str) -> bool:
+def answers_probe(address: str) -> bool:
     try:
         with connect(address) as client:
             return serves(client)
@@ -52,7 +52,7 @@
             assert time.monotonic() < until, f"{len(waiting)} are not ready"
             for address, process in list(waiting.items()):
                 assert process.poll() is None
-                if probed(address):
+                if answers_probe(address):
                     used.append(cpu(process))
                     del waiting[address]
             time.sleep(0.02)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -97,10 +97,10 @@
 
 
 class Recorder:
-    """Stands in for the module: keeps what it was told, answers what it is given to say."""
+    """Stands in for the module: records its events, and answers with the actions it is given."""
 
     made: list[Recorder]
-    say: list[api.Action]
+    actions: list[api.Action]
 
     def __init__(self, settings: Settings, now: float, seed: int) -> None:
         self.settings, self.seed = settings, seed
@@ -109,22 +109,22 @@
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
         self.events += events
-        return list(Recorder.say)
+        return list(Recorder.actions)
 
 
 @pytest.fixture
 def recorder() -> type[Recorder]:
-    Recorder.made, Recorder.say = [], []
+    Recorder.made, Recorder.actions = [], []
     return Recorder
 
 
-def play(*batches: list[dict[str, Any]], link: SimulatorAdapter | None = None) -> list[dict[str, Any]]:
+def play(*batches: list[dict[str, Any]], adapter: SimulatorAdapter | None = None) -> list[dict[str, Any]]:
     sink = io.StringIO()
     lines: list[str] = []
     for n, batch in enumerate(batches, 1):
         messages = [{"msg": "Mark", "simTime": 1000.0 + n, "n": n}, *batch, {"msg": "End"}]
         lines += [json.dumps(message) for message in messages]
-    (link or SimulatorAdapter()).run(lines, sink)
+    (adapter or SimulatorAdapter()).run(lines, sink)
     return [json.loads(line) for line in sink.getvalue().splitlines()]
 
 
@@ -137,8 +137,8 @@
 
 
 def test_settings_reach_the_module_in_its_own_units() -> None:
-    s = settings_from(PROFILE)
-    short, long = s.classes
+    settings = settings_from(PROFILE)
+    short, long = settings.classes
     assert (short.latency_objective, short.deadline, short.priority_weight, short.threads) == (
         0.5,
         2.0,
@@ -151,11 +151,24 @@
         True,
     )
     assert (long.allowed_kinds, long.allowed_zones) == (frozenset({"k4"}), frozenset({"z1"}))
-    assert s.rules.attempt_budget == api.AttemptBudget(4.0, 5, 0.1)
-    assert (s.rules.list_max_age, s.rules.key_settle_time, s.rules.slow_start_time) == (9.0, 0.03, 8.0)
-    assert (s.index, s.balancers, s.polls_engine_list, s.clients_mark_retries) == (1, 2, True, True)
-    assert (s.overbooked, s.progress_period, s.reports) == (api.Overbooked.SHRINK, 1.0, ("cpu",))
-    assert s.tenants == (api.Tenant("t1", 10.0, 0.6),)
+    assert settings.rules.attempt_budget == api.AttemptBudget(4.0, 5, 0.1)
+    assert (settings.rules.list_max_age, settings.rules.key_settle_time, settings.rules.slow_start_time) == (
+        9.0,
+        0.03,
+        8.0,
+    )
+    assert (
+        settings.index,
+        settings.balancers,
+        settings.polls_engine_list,
+        settings.clients_mark_retries,
+    ) == (1, 2, True, True)
+    assert (settings.overbooked, settings.progress_period, settings.reports) == (
+        api.Overbooked.SHRINK,
+        1.0,
+        ("cpu",),
+    )
+    assert settings.tenants == (api.Tenant("t1", 10.0, 0.6),)
 
 
 def test_settings_of_sites_that_allow_and_tell_less_or_more_reach_the_module() -> None:
@@ -219,7 +232,7 @@
             {"msg": "CheckResult", **who, "node": "10.0.0.1:9000", "latency": 1.5, "stateCode": "Failed"},
             {"msg": "Started", **who, "tid": "r", "attempt": 0, "latency": 9.25, "node": "10.0.0.1:9000"},
         ],
-        link=recording(recorder),
+        adapter=recording(recorder),
     )
     [made] = recorder.made
     engine = api.Engine("10.0.0.1:9000", "k4", "z1", 2, api.EngineState.UP, 0.5, 1)
@@ -238,7 +251,7 @@
 
 
 def test_actions_are_translated_in_order(recorder: type[Recorder]) -> None:
-    recorder.say = [
+    recorder.actions = [
         api.Send("r", "n", 1.5),
         api.SetTerms("r", 2, 640.0),
         api.Reject("r", 0.25),
@@ -253,7 +266,7 @@
         api.Message("y", 2),
         api.Log("text"),
     ]
-    reply = play([HELLO], link=recording(recorder))
+    reply = play([HELLO], adapter=recording(recorder))
     assert all(line.pop("who") == "dispatcher-1" for line in reply[:-1])
     assert reply == [
         {"msg": "Place", "tid": "r", "node": "n", "notPast": 1500.0},
@@ -283,7 +296,7 @@
             {**FLEET, "mode": "all"},
             {**FLEET, "mode": "refused", "setId": 9},
         ],
-        link=recording(recorder),
+        adapter=recording(recorder),
     )
     [made] = recorder.made
     lists = [event for event in made.events if isinstance(event, api.EngineList)]
@@ -299,7 +312,7 @@
             {"msg": "Stop", "who": "dispatcher-1"},
             {**HELLO, "salt": 6},
         ],
-        link=recording(recorder),
+        adapter=recording(recorder),
     )
     assert [made.seed for made in recorder.made] == [5, 6]
     assert recorder.made[1].events == []
@@ -308,7 +321,7 @@
 def test_instances_are_kept_apart(recorder: type[Recorder]) -> None:
     play(
         [HELLO, {**HELLO, "who": "dispatcher-0"}, {"msg": "Ring", "who": "dispatcher-0", "mark": "m"}],
-        link=recording(recorder),
+        adapter=recording(recorder),
     )
     assert [len(made.events) for made in recorder.made] == [0, 1]
 
@@ -318,7 +331,7 @@
         def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
             raise IndexError("out of range")
 
-    reply = play([HELLO], link=recording(Broken))
+    reply = play([HELLO], adapter=recording(Broken))
     assert reply[0] == {"msg": "Die", "bodyText": "IndexError: out of range", "who": "dispatcher-1"}
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -170,7 +170,8 @@
     old.send_signal(signal.SIGTERM)
     assert old.wait(timeout=30) == 0
     log = fleet.log(0)
-    assert "not used: torn" in log and "out by hand: s-00000001\n" in log.split("s-00000001 s-00000002")[1]
+    assert 'router.overrides.rejected file=grebeproxy-n1.hands error="torn' in log
+    assert "out by hand: s-00000001\n" in log.split("s-00000001 s-00000002")[1]
     assert call(second, "maint-off s-00000001").startswith("ACK")
     third, _ = fleet.start()
     assert third.poll() is None and "out by hand" not in fleet.log(2)
