--- a/grebeproxy/config.py
+++ b/grebeproxy/config.py
@@ -10,17 +10,20 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, replace
 from pathlib import Path
-from typing import cast
+from typing import TYPE_CHECKING, cast
 
 import orjson
 
 from grebeproxy.errors import GrebeproxyError
-from grebeproxy.net.changelog import KnownEvents, host_and_port, known_events
+from grebeproxy.net.changelog import host_and_port, known_events
 from grebeproxy.net.events import Address
 from grebeproxy.policy.interface import Settings
 from grebeproxy.settings import WireLimits, settings_from, wire_limits_from
 from grebeproxy.units import seconds
 
+if TYPE_CHECKING:  # types alone, which would take time of each start
+    from grebeproxy.net.known_fields import KnownEvents
+
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192.0
 MAX_DESCRIPTOR = 2**20
@@ -130,7 +133,7 @@
 
 def _known(document: Document) -> KnownEvents:
     """The change log's events up to the start, checked by decoding them once."""
-    known = cast(KnownEvents, document.get("known", {"seq": 0, "results": []}))
+    known = cast("KnownEvents", document.get("known", {"seq": 0, "results": []}))
     with _type_faults_named("known: "):
         for _ in known_events(known, seconds):
             pass
--- a/grebeproxy/net/changelog.py
+++ b/grebeproxy/net/changelog.py
@@ -5,13 +5,16 @@
 import socket
 import struct
 from collections.abc import Callable, Iterator
-from typing import NotRequired, TypedDict
+from typing import TYPE_CHECKING
 
 from grebeproxy.errors import GrebeproxyError
 from grebeproxy.net.events import Address
 from grebeproxy.net.messages import BadFrameError, ChangeLogUpdate
 from grebeproxy.policy.interface import Engine, EngineList, EngineState, ListKind, Settings
 
+if TYPE_CHECKING:  # types alone, which would take time of each start
+    from grebeproxy.net.known_fields import EngineEntry, KnownEvents
+
 HEAD = struct.Struct(">IQB")  # length of what follows it, sequence number, kind of frame
 RECORD = struct.Struct(">IIHBBBHIQ")  # one engine: the fields are named in ``Decoder._update``
 LENGTH_BYTES = 4  # of a frame, not counted by its length
@@ -27,39 +30,6 @@
 Clock = Callable[[int], float]  # from a Unix time in milliseconds to the decision module's clock
 
 
-class EngineEntry(TypedDict):
-    """An engine in the configuration's events. Keys and values are those of the operators' registry."""
-
-    name: str
-    address: str
-    zone: str
-    type: str
-    status: str
-    group: NotRequired[int]
-    weight: NotRequired[float]
-    since_ms: NotRequired[int]
-
-
-class KnownList(TypedDict):
-    """The engine list of one event; the whole list with ``snapshot``, else changes to it."""
-
-    endpoints: list[EngineEntry]
-    snapshot: NotRequired[bool]
-
-
-class KnownEvent(TypedDict):
-    """One event of the change log in the configuration."""
-
-    seq: int
-    fleet: KnownList
-
-
-class KnownEvents(TypedDict):
-    """The change log's events that the configuration holds. What a file holds is checked by reading it."""
-
-    results: list[KnownEvent]
-
-
 def hello(seq: int) -> bytes:
     """What a router writes first to subscribe: the sequence number of the last event it has."""
     return struct.pack(">Q", seq)
--- /dev/null
+++ b/grebeproxy/net/known_fields.py
@@ -0,0 +1,41 @@
+"""The JSON form of the change log's events in the configuration. Keys and values are the operators'.
+
+These types say what a file should hold; only reading it checks what it does hold.
+"""
+
+from __future__ import annotations
+
+from typing import NotRequired, TypedDict
+
+
+class EngineEntry(TypedDict):
+    """An engine."""
+
+    name: str
+    address: str
+    zone: str
+    type: str
+    status: str
+    group: NotRequired[int]
+    weight: NotRequired[float]
+    since_ms: NotRequired[int]
+
+
+class KnownList(TypedDict):
+    """The engine list of one event; the full list with ``snapshot``, else changes to it."""
+
+    endpoints: list[EngineEntry]
+    snapshot: NotRequired[bool]
+
+
+class KnownEvent(TypedDict):
+    """One event of the change log in the configuration."""
+
+    seq: int
+    fleet: KnownList
+
+
+class KnownEvents(TypedDict):
+    """The change log's events that the configuration holds."""
+
+    results: list[KnownEvent]
--- a/grebeproxy/settings/decode.py
+++ b/grebeproxy/settings/decode.py
@@ -3,23 +3,25 @@
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from typing import NamedTuple, cast
+from typing import TYPE_CHECKING, NamedTuple, cast
 
 from grebeproxy.errors import GrebeproxyError
 from grebeproxy.policy import interface as api
-from grebeproxy.settings.fields import (
-    CategoryFields,
-    FamilyFields,
-    LimitFields,
-    ObligationFields,
-    OrgFields,
-    PriceFields,
-    SettingsFields,
-    StatFields,
-)
 from grebeproxy.settings.load_report import REPORT_NAMES
 from grebeproxy.units import seconds
 
+if TYPE_CHECKING:  # types alone, which would take milliseconds of each start
+    from grebeproxy.settings.fields import (
+        CategoryFields,
+        FamilyFields,
+        LimitFields,
+        ObligationFields,
+        OrgFields,
+        PriceFields,
+        SettingsFields,
+        StatFields,
+    )
+
 IDEMPOTENCY = {
     "retryable": api.Idempotency.IDEMPOTENT,
     "dedup": api.Idempotency.IDEMPOTENCY_KEY,
@@ -53,7 +55,7 @@
     value of another type.
     """
     # Parts are read in a fixed order: of several faults, operators are told the same one each time.
-    fields = cast(SettingsFields, profile)
+    fields = cast("SettingsFields", profile)
     family = fields.get("familyInfo", {})
     limits = fields["limits"]
     obligations = fields["obligations"]
--- a/grebeproxy/settings/wire_limits.py
+++ b/grebeproxy/settings/wire_limits.py
@@ -4,11 +4,13 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import cast
+from typing import TYPE_CHECKING, cast
 
-from grebeproxy.settings.fields import SettingsFields
 from grebeproxy.units import seconds
 
+if TYPE_CHECKING:  # types alone, which would take milliseconds of each start
+    from grebeproxy.settings.fields import SettingsFields
+
 DEFAULT_CONNECT_TIMEOUT = 1.0  # seconds
 DEFAULT_IDLE_TIMEOUT = 30.0  # seconds
 DEFAULT_MAX_OPEN = 10_000  # requests
@@ -26,7 +28,7 @@
 
 def wire_limits_from(profile: Mapping[str, object]) -> WireLimits:
     """The limits in the settings' JSON form. Raises ``KeyError`` where there are none."""
-    limits = cast(SettingsFields, profile)["limits"]
+    limits = cast("SettingsFields", profile)["limits"]
     return WireLimits(
         connect_timeout=seconds(limits.get("connectTimeout")) or DEFAULT_CONNECT_TIMEOUT,
         idle_timeout=seconds(limits.get("connIdle")) or DEFAULT_IDLE_TIMEOUT,
