--- a/grebeproxy/net/resp.py
+++ b/grebeproxy/net/resp.py
@@ -52,7 +52,7 @@
             parts = ("END", command.txn)
         case Hello():
             parts = ("HELO", command.tag)
-    packed: bytes = hiredis.pack_command(parts)
+    packed: bytes = hiredis.pack_command(parts)  # type: ignore[arg-type]  # it declares a tuple of one item
     return packed
 
 
