--- a/grebeproxy/lab/capacity/measure/engine_list.py
+++ b/grebeproxy/lab/capacity/measure/engine_list.py
@@ -12,7 +12,7 @@
 from grebeproxy.net.changelog import CHANGES, FULL, HEAD, Decoder
 from grebeproxy.net.events import ChangeLogOpened, ChangeLogReceived
 from grebeproxy.net.messages import ChangeLogUpdate
-from grebeproxy.net.router import Router
+from grebeproxy.net.router import Router, RouterOptions
 from grebeproxy.policy import interface as api
 from grebeproxy.settings import wire_limits_from
 
@@ -84,14 +84,14 @@
 
 def _router(seed: int) -> Router:
     """A router whose connection to the change log is up."""
-    router = Router(
+    options = RouterOptions(
         settings(ROUTERS),
         wire_limits_from(profile(ROUTERS)),
         changelog=("127.0.0.1", PORT),
         bounds=admission.bounds(1024, 192.0),
         seed=seed,
-        now=1.0,
     )
+    router = Router(options, now=1.0)
     router.start(1.0)
     router.step(1.0, [ChangeLogOpened(1)])
     return router
--- a/grebeproxy/lab/scale/changelog_server.py
+++ b/grebeproxy/lab/scale/changelog_server.py
@@ -12,7 +12,7 @@
 from grebeproxy.net import changelog, follower
 
 HELLO = struct.Struct(">Q")
-SIGN_OF_LIFE_S = 0.9 * follower.FRAMES  # a frame is due each second
+SIGN_OF_LIFE_S = 0.9 * follower.FRAME_INTERVAL  # a frame is due each second
 BACKLOG = 4096
 HOST = "127.0.0.1"
 
--- a/grebeproxy/lab/scale/watcher.py
+++ b/grebeproxy/lab/scale/watcher.py
@@ -42,7 +42,7 @@
 
 
 class Watcher:
-    """Follows the change log as the router's reducer does, and lets the decision module take each list."""
+    """Follows the change log as the router does, and lets the decision module take each list."""
 
     def __init__(
         self, address: Address, settings: Settings, seed: int, clock: SlackClock, meter: Meter
@@ -85,7 +85,7 @@
         if self._closed or dials != self._log.dials:
             return
         self._drop()
-        asked = follower.dial(self._log, self.clock.now())
+        asked = self._log.dial(self.clock.now())
         self._connection = LogConnection(self, asked.seq, self._log.dials)
         self._connecting = asyncio.get_running_loop().create_task(self._connect(self._connection))
         self._later(self._due(), self._check, self._log.dials)
@@ -97,7 +97,7 @@
             self.lost(connection)
 
     def _due(self) -> float:
-        return follower.due(self._log, self.settings.rules.drain_grace)
+        return self._log.due(self.settings.rules.drain_grace)
 
     def _later(self, at: float, call: Callable[[int], None], dials: int) -> None:
         loop = asyncio.get_running_loop()
@@ -118,7 +118,7 @@
         if self.clock.now() < due - 1e-6:
             self._later(due, self._check, dials)
             return
-        follower.hung(self._log)
+        self._log.timed_out()
         self.lost_connections += 1
         self._dial(dials)
 
@@ -126,7 +126,7 @@
         """The connection is up."""
         if connection is self._connection:
             self.meter.sent(hello_bytes)
-            follower.opened(self._log, self.clock.now())
+            self._log.opened(self.clock.now())
 
     def received(self, connection: LogConnection, data: bytes) -> None:
         """Decode what came and apply it."""
@@ -136,7 +136,7 @@
         try:
             with self.meter:
                 for update in connection.decoder.feed(data):
-                    if follower.read(self._log, update, self.clock.now()) and update.change is not None:
+                    if self._log.read(update, self.clock.now()) and update.change is not None:
                         self._apply(update.seq, update.change, update.addresses or {})
         except (BadFrameError, ValueError):
             self.lost(connection)
@@ -151,5 +151,5 @@
         if connection is not self._connection or self._closed or not self._log.open:
             return
         self.lost_connections += 1
-        at = self.clock.now() + follower.lose(self._log)
+        at = self.clock.now() + self._log.lose()
         self._later(at, self._dial, self._log.dials)
--- a/grebeproxy/net/admission.py
+++ b/grebeproxy/net/admission.py
@@ -1,6 +1,6 @@
-"""Who is let in: how many connections clients may have, how long they may be silent, what they may hold.
+"""Admission: how many connections clients may have, how long they may be silent, how much they may hold.
 
-Plain state and functions; the reducer calls them and carries the times and effects.
+Plain state and functions without input or output; the router calls them, keeps the timers and emits effects.
 """
 
 from __future__ import annotations
@@ -8,75 +8,109 @@
 from dataclasses import dataclass, field
 from typing import Generic, TypeVar
 
+# --- limits on each client connection
+
 MAX_OPEN_REQUESTS = 32
-MAX_FAULTS = 8  # requests that cannot be used, on one connection; a client that goes on so is closed on
-# Seconds; one that never asks, or never ends what it has begun, is owed a close within 3 s.
+MAX_UNUSABLE_REQUESTS = 8  # requests that cannot be used, after which the connection is closed
+# Seconds until a first request, or the rest of a message that has begun. Such connections have to be closed
+# within 3 s.
 FIRST_REQUEST_TIMEOUT = 2.0
-IDLE_TIMEOUT = 8.0  # seconds; clients themselves close connections that were idle for half of that
-SWEEP_INTERVAL = 0.25  # seconds between looks at who is silent
-# Descriptors beside clients and engines: the change log, the loop's own, and lingering closes.
+IDLE_TIMEOUT = 8.0  # seconds; clients close connections themselves after half of that
+HALF_CLOSE_TIMEOUT = 0.5  # seconds for a client to close its side after the router has closed its own
+SWEEP_INTERVAL = 0.25  # seconds between checks for connections that timed out
+# Seconds from standby on for which requests on connections that are still open are accepted.
+DRAIN_ACCEPT_PERIOD = 1.5
+
+# --- limits on operators' connections
+
+MAX_ADMIN_CONNECTIONS = 16
+ADMIN_CALL_TIMEOUT = 6.0  # seconds for a call to be complete
+
+# --- how descriptors and memory are divided
+
+# Descriptors beside clients and engines: the change log, the event loop's own, connections being closed.
 RESERVED_DESCRIPTORS = 48
+ADMIN_DESCRIPTORS = MAX_ADMIN_CONNECTIONS + 1  # with the listening socket
 LINK_SHARE = 3  # a third of the descriptors may be connections to engines
-MAX_ADMIN_CONNECTIONS = 16  # connections of operators, which come from the descriptors for clients
-ADMIN_CALL_TIMEOUT = 6.0  # seconds in which a call is to be whole
-# Seconds from the call to drain on for which requests on connections still open are taken.
-DRAIN_ACCEPT_PERIOD = 1.5
-HALF_CLOSE_TIMEOUT = 0.5  # seconds that a client has to close its side after the router has closed its own
 MB = 1024 * 1024
-PROGRAM_MB = 24.0  # what the program takes with nothing to do, and some more
+PROGRAM_MB = 24.0  # memory of the idle program, with some margin
+MIN_FREE_MB = 4.0  # memory taken to be free beside the program, however little is configured
 
 R = TypeVar("R")
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What may be held at once, from the limits in the configuration."""
+    """How much may be held at once, derived from the limits in the configuration."""
 
     clients: int  # connections
     links: int  # connections to engines
-    bodies: int  # bytes of all statements that are open
-    partial: int  # bytes of all messages that are not whole
+    bodies: int  # bytes of the statements of all open requests
+    partial: int  # bytes of all incomplete messages
     unsent: int  # bytes of all answers that clients have not read
-    pages: int  # bytes of all results whose pages are not all there
+    pages: int  # bytes of all results whose pages are incomplete
 
 
 def bounds(sockets: int, memory_mb: float, *, shared: bool = False, admin: bool = False) -> Bounds:
-    """Half of what the program leaves free is for what peers make it hold; the rest is for working on it.
+    """Divide ``sockets`` descriptors and ``memory_mb`` MB of memory.
 
-    ``shared`` limits hold for two processes together, of which one is taking over from the other. Clients are
-    the same for both: together they hold no more than their third.
+    Half of the memory beside the program is for what peers make the router hold; the rest is for working on
+    it. ``shared`` limits hold for two processes together, one of which is replacing the other. Client
+    connections are not halved: the two processes together accept no more than one alone. ``admin`` says that
+    there is an admin endpoint, whose descriptors are taken from those for clients.
     """
-    links = max(1, sockets // (LINK_SHARE * (1 + shared)))
-    clients = max(
-        1, sockets - (1 + shared) * (links + RESERVED_DESCRIPTORS + admin * (MAX_ADMIN_CONNECTIONS + 1))
-    )
-    free = int(max(4.0, memory_mb / (1 + shared) - PROGRAM_MB) / 2 * MB)
-    return Bounds(clients, links, free // 4, free // 4, free // 4, free // 4)
+    processes = 1 + shared
+    links = max(1, sockets // (LINK_SHARE * processes))
+    others = links + RESERVED_DESCRIPTORS + admin * ADMIN_DESCRIPTORS
+    clients = max(1, sockets - processes * others)
+    free_mb = max(MIN_FREE_MB, memory_mb / processes - PROGRAM_MB)
+    quarter = int(free_mb / 2 * MB) // 4
+    return Bounds(clients, links, bodies=quarter, partial=quarter, unsent=quarter, pages=quarter)
 
 
 @dataclass(slots=True)
 class Client(Generic[R]):
-    """A client's connection, and the requests that are open on it, by their numbers."""
+    """A client's connection, and the requests that are open on it by their message ids."""
 
     conn: int
-    idle_since: float  # since when it has neither asked nor been answered
+    idle_since: float  # the last time it sent a message or was sent an answer
     has_requested: bool = False
-    message_started_at: float | None = None  # since when a message has begun and is not whole
-    faults: int = 0
-    half_closed_at: float | None = None  # when the router ended its side; what comes since is not read
+    message_started_at: float | None = None  # when a message began that is still incomplete
+    unusable_requests: int = 0
+    half_closed_at: float | None = None  # when the router closed its side; later input is dropped
     requests: dict[int, R] = field(default_factory=dict)
 
+    def timed_out(self, now: float) -> bool:
+        """Whether it never sent a request, stopped in the middle of a message, or was idle for too long."""
+        if self.message_started_at is not None and now - self.message_started_at >= FIRST_REQUEST_TIMEOUT:
+            return True
+        if self.half_closed_at is not None and now - self.half_closed_at >= HALF_CLOSE_TIMEOUT:
+            return True
+        if self.requests:
+            return False
+        return now - self.idle_since >= (IDLE_TIMEOUT if self.has_requested else FIRST_REQUEST_TIMEOUT)
+
+    def closable(self) -> bool:
+        """Whether it is between requests. One that has sent no request yet may be about to."""
+        return (
+            self.has_requested
+            and not self.requests
+            and self.message_started_at is None
+            and self.half_closed_at is None
+        )
+
 
-def to_close_for(clients: dict[int, Client[R]]) -> int | None:
-    """The connection that makes room for a new one: one that never asked, else the longest idle.
+def connection_to_evict(clients: dict[int, Client[R]]) -> int | None:
+    """The connection to close for a new one: one that never sent a request, else the longest idle.
 
-    Guards the usual clients against those that hold connections: who has something open is never closed on.
+    ``None`` if all have open requests: those are never closed, so that nobody can push out working clients by
+    opening connections.
     """
-    free = [client for client in clients.values() if not client.requests]
-    if not free:
+    without_requests = [client for client in clients.values() if not client.requests]
+    if not without_requests:
         return None
     return min(
-        free,
+        without_requests,
         key=lambda client: (
             client.half_closed_at is None,
             client.has_requested and client.message_started_at is None,
@@ -85,32 +119,11 @@
     ).conn
 
 
-def too_silent(clients: dict[int, Client[R]], now: float) -> list[int]:
-    """Connections no longer waited for: they never asked, stopped in a message, or were left idle."""
-    return [
-        client.conn
-        for client in clients.values()
-        if (
-            client.message_started_at is not None and now - client.message_started_at >= FIRST_REQUEST_TIMEOUT
-        )
-        or (client.half_closed_at is not None and now - client.half_closed_at >= HALF_CLOSE_TIMEOUT)
-        or (
-            not client.requests
-            and now - client.idle_since >= (IDLE_TIMEOUT if client.has_requested else FIRST_REQUEST_TIMEOUT)
-        )
-    ]
-
+def timed_out_connections(clients: dict[int, Client[R]], now: float) -> list[int]:
+    """Connections to close because nothing is to be expected on them."""
+    return [client.conn for client in clients.values() if client.timed_out(now)]
 
-def to_half_close(clients: dict[int, Client[R]]) -> list[Client[R]]:
-    """Connections that a router which is leaving ends now: between requests, and not before the first.
 
-    Guards what a client has sent and is not read yet: its first request is waited for.
-    """
-    return [
-        client
-        for client in clients.values()
-        if client.has_requested
-        and not client.requests
-        and client.message_started_at is None
-        and client.half_closed_at is None
-    ]
+def closable_clients(clients: dict[int, Client[R]]) -> list[Client[R]]:
+    """Connections that a draining router may close now."""
+    return [client for client in clients.values() if client.closable()]
--- a/grebeproxy/net/effects.py
+++ b/grebeproxy/net/effects.py
@@ -1,4 +1,4 @@
-"""Carries out the effects that the reducer asks for."""
+"""Carries out the effects that the router asks for."""
 
 from __future__ import annotations
 
--- a/grebeproxy/net/events.py
+++ b/grebeproxy/net/events.py
@@ -1,4 +1,4 @@
-"""The events that the router's reducer takes, and the effects that it asks for. They name no protocol."""
+"""The events that the router takes, and the effects that it asks for. They name no wire protocol."""
 
 from __future__ import annotations
 
--- a/grebeproxy/net/follower.py
+++ b/grebeproxy/net/follower.py
@@ -1,6 +1,6 @@
-"""How the change log is followed: what comes next, when its silence is a break, where it is asked anew.
+"""Following the change log: which event comes next, when silence counts as a failure, when to dial again.
 
-Plain state and functions; the reducer calls them and has their times and effects carried out.
+Plain state without input or output; the router calls it, keeps its timers and emits its effects.
 """
 
 from __future__ import annotations
@@ -12,17 +12,22 @@
 from grebeproxy.net.messages import ChangeLogUpdate
 from grebeproxy.policy.interface import ListKind
 
-FRAMES = 1.0  # seconds from one frame to the next, where nothing is new
-MIN_LATENESS, MAX_LATENESS = 0.2, 0.6  # seconds that a frame may be late before it is missed
-BACKOFF, MAX_BACKOFF = 0.05, 0.4
-# Seconds in which a connection is to come up; twice as long after each one that did not.
+FRAME_INTERVAL = 1.0  # seconds from one frame to the next while nothing changes
+# Seconds by which a frame may be late before it counts as missing.
+MIN_LATENESS = 0.2
+MAX_LATENESS = 0.6
+# Seconds until the next dial; doubled with each failure.
+BACKOFF = 0.05
+MAX_BACKOFF = 0.4
+# Seconds for a connection to come up; doubled with each one that does not.
 CONNECT_TIMEOUT = 0.4
-# Seconds for which a starting router waits to hear of the engines before it takes clients.
+RECONNECT_ALLOWANCE = 1.5 * CONNECT_TIMEOUT  # seconds for one connection that hangs and one that does not
+# Seconds for which a starting router waits for the engine list before it accepts clients.
 FIRST_EVENT_TIMEOUT = 0.25
 
 
 class ChangeLogGapError(GrebeproxyError, ValueError):
-    """An event of the change log came whose predecessors were never received.
+    """An event of the change log was received whose predecessors are missing.
 
     Derives from ``ValueError`` as well, so that callers that caught that before catch it still.
     """
@@ -30,76 +35,77 @@
 
 @dataclass(slots=True)
 class Follower:
-    """The connection to the change log and the last event that was applied."""
+    """The connection to the change log, and the last event that was applied. Times are in seconds."""
 
     address: Address
-    last_heard: float
-    seq: int = 0
+    last_received_at: float
+    seq: int = 0  # of the last event that was applied
     backoff: float = BACKOFF
     connect_timeout: float = CONNECT_TIMEOUT
-    open: bool = False
-    up: bool = False  # what is dialled has come up
-    dials: int = 0  # its number: keeps a connection's timers apart from an earlier one's
-
-
-def dial(log: Follower, now: float) -> OpenChangeLog:
-    """Ask for what came after the last event."""
-    log.open, log.up, log.last_heard, log.dials = True, False, now, log.dials + 1
-    return OpenChangeLog(log.address, log.seq, log.dials)
-
-
-def opened(log: Follower, now: float) -> None:
-    """The connection is up, and asked for what is new."""
-    log.up, log.last_heard = True, now
-
-
-def lose(log: Follower) -> float:
-    """The connection is of no more use; returns the seconds until the next dial, longer each time in vain."""
-    log.open, delay = False, log.backoff
-    log.backoff = min(MAX_BACKOFF, 2 * log.backoff)
-    return delay
-
-
-def due(log: Follower, grace: float) -> float:
-    """When the connection is given up, unless something is heard: silence ends it as a reset does.
-
-    Guards against a log that stops and stays open, and against a connection that never comes up. A change
-    counts from when it was written, and may be acted against for the ``grace`` of the rule on drains, in
-    seconds: what is left of it is for a connection that hangs and one that does not.
-    """
-    if log.up:
-        return (
-            log.last_heard
-            + FRAMES
-            + min(MAX_LATENESS, max(MIN_LATENESS, grace - FRAMES - 1.5 * CONNECT_TIMEOUT))
-        )
-    return log.last_heard + log.connect_timeout
-
-
-def hung(log: Follower) -> None:
-    """The connection has had its time. The next is dialled at once, and has more where this never came up."""
-    log.open = False
-    if not log.up:
-        log.connect_timeout = min(FRAMES + MAX_LATENESS, 2 * log.connect_timeout)
-
-
-def migrate(log: Follower, address: Address) -> bool:
-    """The log is elsewhere from now on; returns whether it is to be dialled at once, from the last event."""
-    if address == log.address:
-        return False
-    log.address, log.backoff, log.connect_timeout = address, BACKOFF, CONNECT_TIMEOUT
-    return True
-
-
-def read(log: Follower, update: ChangeLogUpdate, now: float) -> bool:
-    """Return whether an event is to be applied.
-
-    Raises ``ChangeLogGapError`` when events before it are missing.
-    """
-    log.last_heard, log.backoff, log.connect_timeout = now, BACKOFF, CONNECT_TIMEOUT
-    if update.change is None or update.seq <= log.seq:  # a sign of life, or an event that comes twice
-        return False
-    if update.change.how is not ListKind.FULL and update.seq != log.seq + 1:
-        raise ChangeLogGapError(f"event {update.seq} came after {log.seq}")
-    log.seq = update.seq
-    return True
+    open: bool = False  # a connection was dialled and not given up since
+    connected: bool = False  # the connection has come up
+    dials: int = 0  # the connection's number, which tells its timers from those of an earlier one
+
+    def dial(self, now: float) -> OpenChangeLog:
+        """Connect, and request what comes after the last event."""
+        self.open = True
+        self.connected = False
+        self.last_received_at = now
+        self.dials += 1
+        return OpenChangeLog(self.address, self.seq, self.dials)
+
+    def opened(self, now: float) -> None:
+        """Record that the connection has come up and sent its request."""
+        self.connected = True
+        self.last_received_at = now
+
+    def lose(self) -> float:
+        """Give up the connection. Returns the seconds until the next dial, doubled with each failure."""
+        self.open = False
+        delay = self.backoff
+        self.backoff = min(MAX_BACKOFF, 2 * self.backoff)
+        return delay
+
+    def due(self, drain_grace: float) -> float:
+        """When the connection is given up unless something is received on it.
+
+        Covers a log that stops sending while its connection stays open, and a connection that never comes up.
+        ``drain_grace`` is how long after a change was written the rules still allow acting against it, in
+        seconds. Silence is detected early enough to reconnect within it.
+        """
+        if not self.connected:
+            return self.last_received_at + self.connect_timeout
+        lateness = max(MIN_LATENESS, drain_grace - FRAME_INTERVAL - RECONNECT_ALLOWANCE)
+        return self.last_received_at + FRAME_INTERVAL + min(MAX_LATENESS, lateness)
+
+    def timed_out(self) -> None:
+        """Give up the connection as silent. If it never came up, the next one is given longer."""
+        self.open = False
+        if not self.connected:
+            self.connect_timeout = min(FRAME_INTERVAL + MAX_LATENESS, 2 * self.connect_timeout)
+
+    def migrate(self, address: Address) -> bool:
+        """Follow the log at another address. Returns whether it is to be dialled at once."""
+        if address == self.address:
+            return False
+        self.address = address
+        self._reset_delays()
+        return True
+
+    def read(self, update: ChangeLogUpdate, now: float) -> bool:
+        """Record an event. Returns whether it is to be applied: keep-alives and duplicates are not.
+
+        Raises ``ChangeLogGapError`` when events before it are missing.
+        """
+        self.last_received_at = now
+        self._reset_delays()
+        if update.change is None or update.seq <= self.seq:
+            return False
+        if update.change.how is not ListKind.FULL and update.seq != self.seq + 1:
+            raise ChangeLogGapError(f"event {update.seq} came after {self.seq}")
+        self.seq = update.seq
+        return True
+
+    def _reset_delays(self) -> None:
+        self.backoff = BACKOFF
+        self.connect_timeout = CONNECT_TIMEOUT
--- a/grebeproxy/net/manual_overrides.py
+++ b/grebeproxy/net/manual_overrides.py
@@ -1,5 +1,5 @@
 """Manual overrides: the engines that operators have taken out of service. Plain state and functions, and the
-bytes that carry it from one process to the next; the reducer calls them.
+bytes that carry it from one process to the next; the router calls them.
 
 Two processes may know of different calls. Each call has a number above all that its process knew, and for
 each engine the higher one holds; so merging is the same in any order and however often it is done.
--- a/grebeproxy/net/router/attempts.py
+++ b/grebeproxy/net/router/attempts.py
@@ -1,105 +1,151 @@
-"""Attempts: sent, answered page by page, given up."""
+"""Attempts: sent to an engine, answered page by page, abandoned."""
 
 from __future__ import annotations
 
-from grebeproxy.net.events import LogLine
-from grebeproxy.net.messages import End, EngineAnswer, Fetch, Hello, Served, Stop, AnswerKind
-from grebeproxy.net.router.links import Links, SETTLE
-from grebeproxy.net.router.records import Attempt, Link
+from grebeproxy.net.events import (
+    LinkAnswerReceived,
+    LinkAnswerStarted,
+    LinkClosed,
+    LinkEvent,
+    LinkOpened,
+    LinkPaused,
+    LinkResumed,
+    LogLine,
+)
+from grebeproxy.net.messages import AnswerKind, End, EngineAnswer, Fetch, Hello, Served, Stop
+from grebeproxy.net.router.engine_links import STOP_TRANSIT, EngineLinks
+from grebeproxy.net.router.records import Attempt, Link, Request
 from grebeproxy.policy import interface as api
 
-MAX_RESULT_BYTES = 48_000  # bytes
+MAX_RESULT_BYTES = 48_000
+PARTIAL_ANSWER_TIMEOUT = 0.3  # seconds from an answer's first byte until it is taken to stay incomplete
 
 
-class Attempts(Links):
-    """Attempts: sent, answered page by page, given up."""
+class Attempts(EngineLinks):
+    """Attempts: sent to an engine, answered page by page, abandoned."""
+
+    # --- sending
 
     def _send(self, action: api.Send) -> None:
+        """Start the attempt that the decision module asked for, or report why it did not start."""
         request = self._requests.get(action.id)
         if request is None:
             return
-        attempt = Attempt(
-            request,
-            request.attempts,
-            action.engine,
-            self.now,
-            min(action.until, request.due),
-            send_by=float("inf") if action.by is None else action.by,
-        )
-        request.attempts += 1
-        if not request.owed or request.in_flight is not None or attempt.until <= self.now:
-            # Guards the rule of one attempt at a time, whatever was decided.
-            self._report(attempt, api.Outcome.MOOT)
+        attempt = self._new_attempt(request, action)
+        if not request.awaiting_answer or request.in_flight is not None or attempt.deadline <= self.now:
+            # At most one attempt is in flight, whatever was decided.
+            self._report_attempt(attempt, api.Outcome.MOOT)
             return
         request.in_flight = attempt
-        if action.engine in self._disabled_engines:  # guards the manual overrides, whatever was decided
-            self._end(attempt, api.Outcome.MOOT)
+        if action.engine in self._disabled_engines:  # manual overrides hold, whatever was decided
+            self._end_attempt(attempt, api.Outcome.MOOT)
             return
-        if action.engine not in self._places:  # another engine has its address now
-            self._end(attempt, api.Outcome.CONNECT_FAILED)
+        if action.engine not in self._locations:  # another engine has its address now
+            self._end_attempt(attempt, api.Outcome.CONNECT_FAILED)
             return
         link = self._link_for(attempt)
         if link is None:
-            # No descriptor is left for it. Guards against taking that for a fault of the engine, which would
-            # end what runs there: full holds back what follows, and proves as well that nothing ran.
-            self._end(attempt, api.Outcome.FULL)
+            # This process has no descriptor left, which is no fault of the engine. FULL tells the module to
+            # wait and that nothing ran; CONNECT_FAILED would end other attempts on the engine.
+            self._end_attempt(attempt, api.Outcome.FULL)
             return
         attempt.link = link
         link.attempts[action.id] = attempt
-        # By name: a timer that held the attempt would keep its statement and pages in memory.
-        self._at(attempt.until, self._expire, action.id, attempt.number)
-        self._to_flush[link.id] = link
+        # By id: a timer that refers to the attempt would keep its statement and pages in memory.
+        self._timers.add(attempt.deadline, self._expire_attempt, action.id, attempt.number)
+        self._links_to_flush[link.id] = link
+
+    def _new_attempt(self, request: Request, action: api.Send) -> Attempt:
+        attempt = Attempt(
+            request,
+            request.attempt_count,
+            action.engine,
+            self.now,
+            deadline=min(action.until, request.deadline),
+            write_by=float("inf") if action.by is None else action.by,
+        )
+        request.attempt_count += 1
+        return attempt
 
-    def _expire(self, txn: str, number: int) -> None:
+    # --- abandoning
+
+    def _expire_attempt(self, txn: str, number: int) -> None:
         request = self._requests.get(txn)
         if request is not None and request.in_flight is not None and request.in_flight.number == number:
-            self._give_up(request.in_flight, api.Outcome.TIMEOUT)
+            self._abandon_attempt(request.in_flight, api.Outcome.TIMEOUT)
 
-    def _give_up(self, attempt: Attempt, outcome: api.Outcome) -> None:
-        """Stop an attempt; it counts as ended once the engine can have heard of it."""
+    def _abandon_attempt(self, attempt: Attempt, outcome: api.Outcome) -> None:
+        """Stop an attempt; it ends once the stop command can have reached the engine."""
         link, request = attempt.link, attempt.request
         if attempt.stopped or link is None:
             return
         attempt.stopped = True
-        if not attempt.written:  # it never left, and now it never will
-            self._end(attempt, outcome)
+        if not attempt.written:
+            self._end_attempt(attempt, outcome)
             return
         request.abandoned_links.add(link.id)
-        if link.paused and attempt in link.unsent:
-            # Guards against a request that is sent after its attempt has ended: the rest of it is still here.
-            self._drop(link)
+        if link.paused and attempt in link.unsent_attempts:
+            # Part of the request is still unsent and would reach the engine after its attempt has ended.
+            self._drop_link(link)
             return
         txn = request.call.txn
         self._command(link, Stop(txn) if attempt.pages is None else End(txn))
-        if link.last_heard <= attempt.sent < self.now - self.limits.connect_timeout:
+        if link.last_received_at <= attempt.started_at < self.now - self.limits.connect_timeout:
             self._health_check_link(link)
         self._detach(attempt)
-        self._at(self.now + SETTLE, self._end, attempt, outcome)
+        self._timers.add(self.now + STOP_TRANSIT, self._end_attempt, attempt, outcome)
 
     def _health_check_link(self, link: Link) -> None:
-        """Nothing was heard since an attempt went out that was given up: the machine behind may be gone.
+        """Check a connection that was silent since an abandoned attempt started: its machine may be gone.
 
-        The connection is asked. Ending it unasked cost a handshake for most queries that stood still: over
-        all routers a new connection for every third query.
+        Closing it without a check cost a new connection for every third query over all routers, most of them
+        for queries that were merely slow.
         """
-        if link.probed_at is None and not link.retired:
-            link.probed_at = self.now
+        if link.health_checked_at is None and not link.retired:
+            link.health_checked_at = self.now
             self._command(link, Hello(str(link.id)))
-            self._at(self.now + self.limits.connect_timeout, self._check_health_check, link)
+            self._timers.add(self.now + self.limits.connect_timeout, self._finish_health_check, link)
 
-    def _check_health_check(self, link: Link) -> None:
-        if link.id in self._links and link.probed_at is not None and link.last_heard <= link.probed_at:
-            link.retired = True  # what is still out there may be answered all the same
+    def _finish_health_check(self, link: Link) -> None:
+        checked_at = link.health_checked_at
+        if link.id in self._links and checked_at is not None and link.last_received_at <= checked_at:
+            link.retired = True  # attempts on it may be answered all the same
             if not link.attempts:
-                self._drop(link)
-        link.probed_at = None
+                self._drop_link(link)
+        link.health_checked_at = None
+
+    # --- events of connections to engines
+
+    def _on_link_event(self, event: LinkEvent) -> None:
+        # The connection is unknown if the event crossed our closing it.
+        if (link := self._links.get(event.link)) is None:
+            return
+        match event:
+            case LinkAnswerReceived(_, answer):
+                link.answer_started_at = None
+                self._on_engine_answer(link, answer)
+            case LinkAnswerStarted():
+                if link.answer_started_at is None:
+                    link.answer_started_at = self.now
+                    due = self.now + PARTIAL_ANSWER_TIMEOUT
+                    self._timers.add(due, self._check_answer_complete, link, self.now)
+            case LinkOpened():
+                link.connected = True
+                self._links_to_flush[link.id] = link
+            case LinkClosed(_, local_shortage):
+                self._drop_link(link, close=False, local_shortage=local_shortage)
+            case LinkPaused():
+                link.paused = True
+            case LinkResumed():
+                link.paused = False
+                self._links_to_flush[link.id] = link
 
     def _on_engine_answer(self, link: Link, answer: EngineAnswer) -> None:
-        link.last_heard = self.now
+        link.last_received_at = self.now
         attempt = link.attempts.get(answer.txn)
         if attempt is None or not attempt.written:
-            return  # the late answer of an attempt that was given up, or one that nobody asked for
-        attempt.report = answer.report or attempt.report
+            return  # a late answer to an abandoned attempt, or an unsolicited one
+        attempt.load_report = answer.report or attempt.load_report
         match answer.kind:
             case AnswerKind.OK if attempt.pages is None:
                 attempt.pages = [None] * answer.pages
@@ -109,32 +155,32 @@
             case AnswerKind.PAGE if attempt.pages is not None and 1 <= answer.page < len(attempt.pages):
                 self._add_page(attempt, answer.page, answer.body)
             case AnswerKind.FULL if attempt.pages is None:
-                self._end(attempt, api.Outcome.FULL)
+                self._end_attempt(attempt, api.Outcome.FULL)
             case AnswerKind.STALE if attempt.pages is None:
-                self._end(attempt, api.Outcome.MOOT)
-            case AnswerKind.INVALID:  # nothing else on its connection can be trusted either
-                self._effects.append(LogLine(f"engine {link.engine}: an answer that cannot be right"))
-                self._drop(link)
-            case (
-                AnswerKind.ALIVE
-                | AnswerKind.OK
-            ):  # the latter a second copy: what it brings more harms nothing
+                self._end_attempt(attempt, api.Outcome.MOOT)
+            case AnswerKind.INVALID:  # no other answer on its connection can be trusted either
+                self._effects.append(LogLine(f"router.engine_answer.invalid engine={link.engine}"))
+                self._drop_link(link)
+            case AnswerKind.ALIVE | AnswerKind.OK:  # this OK is a duplicate of the first, and harmless
                 pass
-            case _:  # also a page that the engine lost: it ran, and a short answer would be wrong
-                self._end(attempt, api.Outcome.ERROR)
+            case (
+                _
+            ):  # also a page that the engine lost: the statement ran, and a partial result would be wrong
+                self._end_attempt(attempt, api.Outcome.ERROR)
 
     def _add_page(self, attempt: Attempt, number: int, body: bytes) -> None:
+        """Record a page of the result, and answer the client once it is complete."""
         pages, request = attempt.pages or [], attempt.request
         added = len(body) if pages[number] is None else 0
-        attempt.size += added
-        self._paged += added
+        attempt.result_bytes += added
+        self._partial_result_bytes += added
         pages[number] = body
-        if attempt.size > MAX_RESULT_BYTES:
-            self._end(attempt, api.Outcome.ERROR)
+        if attempt.result_bytes > MAX_RESULT_BYTES:
+            self._end_attempt(attempt, api.Outcome.ERROR)
         elif None not in pages:
             parts = tuple(page for page in pages if page is not None)
             self._answer(request, Served(request.call.msg, parts))
-            self._end(attempt, api.Outcome.OK, settled=True)
-        elif self._paged > self._bounds.pages:
-            # Guards the memory against many results that come a page at a time; it is no fault of the engine.
-            self._give_up(attempt, api.Outcome.CANCELLED)
+            self._end_attempt(attempt, api.Outcome.OK, settled=True)
+        elif self._partial_result_bytes > self._bounds.pages:
+            # Bounds memory when many results arrive a page at a time; it is no fault of the engine.
+            self._abandon_attempt(attempt, api.Outcome.CANCELLED)
--- a/grebeproxy/net/router/clients.py
+++ b/grebeproxy/net/router/clients.py
@@ -1,123 +1,173 @@
-"""Clients: who is let in, what is taken from them, and what becomes of it when they leave."""
+"""Clients: connections admitted and closed, requests accepted, rejected and abandoned."""
 
 from __future__ import annotations
 
 from grebeproxy.net import admission
-from grebeproxy.net.events import Answer, CloseClient, LogLine
+from grebeproxy.net.events import (
+    Answer,
+    ClientClosed,
+    ClientEvent,
+    ClientMessageReceived,
+    ClientMessageStarted,
+    ClientOpened,
+    CloseClient,
+    LogLine,
+)
 from grebeproxy.net.messages import Call, Failed, FromClient, GiveUp, Invalid, Ping, Pong, Rejected, ToClient
 from grebeproxy.net.router.attempts import Attempts
+from grebeproxy.net.router.options import RouterOptions
 from grebeproxy.net.router.records import Request
 from grebeproxy.policy import interface as api
 
-TRANSIT = 0.020  # seconds of a client's limit kept for the request's and the answer's way
-OVERDUE = 0.030  # after the due time, within the rules' slack: the module has had its chance by then
+TRANSIT = 0.020  # seconds of a client's limit reserved for the network, for request and answer together
+# Seconds after its deadline until a request is failed by the router, still within the rules' tolerance: the
+# decision module has had its chance by then.
+OVERDUE = 0.030
 
 
 class Clients(Attempts):
-    """Clients: who is let in, what is taken from them, and what becomes of it when they leave."""
+    """Clients: connections admitted and closed, requests accepted, rejected and abandoned."""
+
+    def __init__(self, options: RouterOptions, now: float) -> None:
+        super().__init__(options, now)
+        self._sweep_scheduled = False
+
+    def _on_client_event(self, event: ClientEvent) -> None:
+        match event:
+            case ClientOpened(conn):
+                self._admit(conn)
+            case ClientMessageReceived(conn, message):
+                # The connection is unknown, or half closed, if the message crossed our closing it.
+                if (client := self._clients.get(conn)) is not None and client.half_closed_at is None:
+                    self._on_client_message(client, message)
+            case ClientMessageStarted(conn):
+                if (client := self._clients.get(conn)) is not None and client.half_closed_at is None:
+                    if client.message_started_at is None:
+                        client.message_started_at = self.now
+            case ClientClosed(conn):
+                self._forget_client(conn)
+
+    # --- connections
 
     def _admit(self, conn: int) -> None:
+        """Accept a connection, at the limit by closing an idle one, or else reject it."""
         if len(self._clients) >= self._bounds.clients:
-            victim = admission.to_close_for(self._clients)
-            self._hang_up(conn if victim is None else victim)
-            if victim is None:
+            evicted = admission.connection_to_evict(self._clients)
+            self._close_client(conn if evicted is None else evicted)
+            if evicted is None:
                 return
         self._clients[conn] = admission.Client(conn, self.now)
-        if not self._sweeping:
-            self._sweeping = True
-            self._at(self.now + admission.SWEEP_INTERVAL, self._sweep)
+        if not self._sweep_scheduled:
+            self._schedule_sweep()
+
+    def _schedule_sweep(self) -> None:
+        self._sweep_scheduled = True
+        self._timers.add(self.now + admission.SWEEP_INTERVAL, self._sweep)
 
     def _sweep(self) -> None:
-        for conn in admission.too_silent(self._clients, self.now):
-            self._hang_up(conn)
-        self._sweeping = bool(self._clients)
-        if self._sweeping:
-            self._at(self.now + admission.SWEEP_INTERVAL, self._sweep)
+        """Close the connections that timed out."""
+        for conn in admission.timed_out_connections(self._clients, self.now):
+            self._close_client(conn)
+        self._sweep_scheduled = False
+        if self._clients:
+            self._schedule_sweep()
 
-    def _hang_up(self, conn: int) -> None:
+    def _close_client(self, conn: int) -> None:
         self._effects.append(CloseClient(conn))
-        self._leave(conn)
+        self._forget_client(conn)
+
+    def _forget_client(self, conn: int) -> None:
+        """A client's connection has ended: abandon all requests that are open on it."""
+        client = self._clients.pop(conn, None)
+        for request in list(client.requests.values()) if client is not None else ():
+            self._abandon_request(request)
+
+    # --- messages
+
+    def _on_client_message(self, client: admission.Client[Request], message: FromClient) -> None:
+        client.has_requested = True
+        client.message_started_at = None
+        client.idle_since = self.now
+        match message:
+            case Call():
+                self._on_call(client, message)
+            case GiveUp(msg):
+                # The request is unknown if the message crossed its answer.
+                if msg in client.requests:
+                    self._abandon_request(client.requests[msg])
+            case Ping(msg):
+                self._effects.append(Answer(client.conn, Pong(msg, not self._draining())))
+            case Invalid(msg, name):
+                self._count_unusable(client, Failed(msg, name))
 
-    def _fault(self, client: admission.Client[Request], answer: ToClient) -> None:
-        """Guards the usual clients against one that goes on sending what cannot be used: it is closed on."""
-        client.faults += 1
-        if client.faults < admission.MAX_FAULTS:
+    def _count_unusable(self, client: admission.Client[Request], answer: ToClient) -> None:
+        """Answer an unusable request; a client that keeps sending them is disconnected, to protect others."""
+        client.unusable_requests += 1
+        if client.unusable_requests < admission.MAX_UNUSABLE_REQUESTS:
             self._effects.append(Answer(client.conn, answer))
         else:
-            self._hang_up(client.conn)
+            self._close_client(client.conn)
 
-    def _accept_request(self, client: admission.Client[Request], call: Call) -> None:
+    def _on_call(self, client: admission.Client[Request], call: Call) -> None:
+        """Accept a request, reject it, or disconnect the client."""
         rejected = Rejected(call.msg, self.settings.max_retry_after)
         if call.msg in client.requests:
-            # Two answers under one id could not be told apart: nothing on this connection can be trusted.
-            self._hang_up(client.conn)
+            # Two answers with one id could not be told apart: nothing on this connection can be trusted.
+            self._close_client(client.conn)
         elif call.txn in self._requests:
-            # Guards against a second request under an id that an engine still has: their answers would mix.
-            self._fault(client, Failed(call.msg, "txn"))
-        elif call.cls not in self._deadlines:  # a class that has gone: its clients may not know yet
+            # An engine still has a request with this id; the answers to both would mix.
+            self._count_unusable(client, Failed(call.msg, "txn"))
+        elif call.cls not in self._deadlines:  # the class was removed, which its clients may not know yet
             self._effects.append(Answer(client.conn, rejected))
         elif len(client.requests) >= admission.MAX_OPEN_REQUESTS:
-            self._fault(client, rejected)
-        elif (
-            self.now >= self._accept_until
-            or len(self._requests) >= self.limits.max_open
-            or self._bodies + len(call.body) > self._bounds.bodies
-        ):
+            self._count_unusable(client, rejected)
+        elif not self._has_capacity(call):
             self._effects.append(Answer(client.conn, rejected))
         else:
-            # No longer than the class's own deadline. Guards against limits of hours: what is kept for a
-            # request until then would pile up.
-            due = self.now + min(call.limit, self._deadlines[call.cls]) - TRANSIT
-            request = Request(call, client.conn, due)
-            self._requests[call.txn] = client.requests[call.msg] = request
-            self._bodies += len(call.body)
-            self._at(request.due + OVERDUE, self._overdue, call.txn, request.due)
-            self._pending.append(
-                api.Query(
-                    call.txn,
-                    call.cls,
-                    request.due,
-                    tenant=call.tenant,
-                    key=call.key,
-                    data_set=call.data_set,
-                    work=call.work,
-                    memory_mb=call.memory_mb,
-                    is_client_retry=call.is_client_retry,
-                )
+            self._accept_request(client, call)
+
+    def _has_capacity(self, call: Call) -> bool:
+        return (
+            self.now < self._accept_until
+            and len(self._requests) < self.limits.max_open
+            and self._statement_bytes + len(call.body) <= self._bounds.bodies
+        )
+
+    def _accept_request(self, client: admission.Client[Request], call: Call) -> None:
+        # At most the deadline of its class: client limits of hours would make records pile up.
+        deadline = self.now + min(call.limit, self._deadlines[call.cls]) - TRANSIT
+        request = Request(call, client.conn, deadline)
+        self._requests[call.txn] = client.requests[call.msg] = request
+        self._statement_bytes += len(call.body)
+        self._timers.add(deadline + OVERDUE, self._fail_overdue, call.txn, deadline)
+        self._module_events.append(
+            api.Query(
+                call.txn,
+                call.cls,
+                deadline,
+                tenant=call.tenant,
+                key=call.key,
+                data_set=call.data_set,
+                work=call.work,
+                memory_mb=call.memory_mb,
+                is_client_retry=call.is_client_retry,
             )
+        )
 
-    def _leave(self, conn: int) -> None:
-        """A client's connection has ended, and with it all that was open on it."""
-        client = self._clients.pop(conn, None)
-        for request in list(client.requests.values()) if client is not None else ():
-            self._abandon(request)
+    # --- requests
 
-    def _abandon(self, request: Request) -> None:
-        """The client waits no more: nothing is owed, and what runs for it is given up."""
+    def _abandon_request(self, request: Request) -> None:
+        """The client no longer waits: cancel the attempt that is in flight."""
         self._settle(request)
-        self._pending.append(api.ClientDisconnected(request.call.txn))
+        self._module_events.append(api.ClientDisconnected(request.call.txn))
         if request.in_flight is not None:
-            self._give_up(request.in_flight, api.Outcome.CANCELLED)
-        self._forget(request)
+            self._abandon_attempt(request.in_flight, api.Outcome.CANCELLED)
+        self._forget_if_finished(request)
 
-    def _overdue(self, txn: str, due: float) -> None:
-        """Guards the rule of one answer in time against a module that has given none."""
+    def _fail_overdue(self, txn: str, deadline: float) -> None:
+        """Answer in time even if the decision module decided nothing."""
         request = self._requests.get(txn)
-        if request is not None and request.due == due and request.owed:
-            self._effects.append(LogLine(f"request {txn}: no answer was decided in time"))
+        if request is not None and request.deadline == deadline and request.awaiting_answer:
+            self._effects.append(LogLine(f"router.request.overdue txn={txn}"))
             self._answer(request, Failed(request.call.msg))
-            self._abandon(request)
-
-    def _on_client(self, client: admission.Client[Request], message: FromClient) -> None:
-        client.has_requested, client.message_started_at, client.idle_since = True, None, self.now
-        match message:
-            case Call():
-                self._accept_request(client, message)
-            case GiveUp(msg):
-                # One that crossed the answer names nothing that is open, and is over already.
-                if msg in client.requests:
-                    self._abandon(client.requests[msg])
-            case Ping(msg):
-                self._effects.append(Answer(client.conn, Pong(msg, not self._draining())))
-            case Invalid(msg, name):
-                self._fault(client, Failed(msg, name))
+            self._abandon_request(request)
--- /dev/null
+++ b/grebeproxy/net/router/decisions.py
@@ -0,0 +1,79 @@
+"""Decisions: the decision module hears what happened, and its actions are carried out."""
+
+from __future__ import annotations
+
+import traceback
+from collections.abc import Callable
+from typing import Protocol
+
+from grebeproxy.net.events import LogLine
+from grebeproxy.net.messages import Failed, Rejected
+from grebeproxy.net.router.admin import Admin
+from grebeproxy.net.router.options import RouterOptions
+from grebeproxy.policy import interface as api
+
+
+class Module(Protocol):
+    """A decision module."""
+
+    def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
+        """Take the events since the last call, in order, and decide; ``now`` is in seconds."""
+
+
+Decide = Callable[[api.Settings, float, int], Module]  # makes a module from settings, the time and a seed
+
+
+class Decisions(Admin):
+    """Decisions: the decision module hears what happened, and its actions are carried out."""
+
+    def __init__(self, options: RouterOptions, now: float, decide: Decide) -> None:
+        super().__init__(options, now)
+        self._choice = decide(self.settings, now, options.seed)
+        self._next_decision_at = now
+
+    def _decide_if_due(self) -> None:
+        """Give the module what happened since its last round, at most one round a settings ``tick``."""
+        if self._module_events and self.now >= self._next_decision_at:
+            self._next_decision_at = self.now + self.settings.tick
+            events, self._module_events = self._module_events, []
+            for action in self._decide(events):
+                self._carry_out(action)
+
+    def _decide(self, events: list[api.Event]) -> list[api.Action]:
+        """Ask the module. After a fault in it the router goes on, and ``_fail_overdue`` answers clients."""
+        try:
+            return self._choice.handle(self.now, events)
+        except Exception:  # whatever the fault is, open requests still have to be answered
+            self._effects.append(LogLine(f"router.decision_module.failed\n{traceback.format_exc()}"))
+            return []
+
+    def _carry_out(self, action: api.Action) -> None:
+        match action:
+            case api.Send():
+                self._send(action)
+            case api.SetTimer():
+                self._timers.add(self.now + action.delay, self._fire_module_timer, action.name)
+            case api.Log():
+                self._effects.append(LogLine(action.text))
+            case _:
+                self._carry_out_on_request(action)
+
+    def _carry_out_on_request(self, action: api.Action) -> None:
+        """Carry out an action on an open request: its terms, its answer, the cancelling of its attempt."""
+        match action:
+            case api.SetTerms():
+                if action.id in self._requests:
+                    self._requests[action.id].memory_mb = action.memory_mb
+            case api.Reject():
+                if (request := self._requests.get(action.id)) is not None:
+                    self._answer(request, Rejected(request.call.msg, action.retry_after))
+            case api.Fail():
+                if (request := self._requests.get(action.id)) is not None:
+                    self._answer(request, Failed(request.call.msg))
+            case api.Cancel():
+                request = self._requests.get(action.id)
+                if request and request.in_flight and request.in_flight.number == action.attempt:
+                    self._abandon_attempt(request.in_flight, api.Outcome.CANCELLED)
+
+    def _fire_module_timer(self, name: str) -> None:
+        self._module_events.append(api.TimerFired(name))
--- a/grebeproxy/net/router/discovery.py
+++ b/grebeproxy/net/router/discovery.py
@@ -1,89 +1,127 @@
-"""The change log: dialled, read, and applied to the engines."""
+"""Discovery: the change log is followed, and its events are applied to the engines."""
 
 from __future__ import annotations
 
-from grebeproxy.net import follower
-from grebeproxy.net.events import Address, LogLine
+from grebeproxy.net.events import (
+    Address,
+    ChangeLogClosed,
+    ChangeLogEvent,
+    ChangeLogOpened,
+    ChangeLogReceived,
+    LogLine,
+)
+from grebeproxy.net.follower import ChangeLogGapError, Follower
 from grebeproxy.net.messages import ChangeLogUpdate
 from grebeproxy.net.router.clients import Clients
-from grebeproxy.net.router.records import Place
+from grebeproxy.net.router.core import TIMER_TOLERANCE
+from grebeproxy.net.router.options import RouterOptions
+from grebeproxy.net.router.records import EngineLocation
 from grebeproxy.policy import interface as api
 
 
 class Discovery(Clients):
-    """The change log: dialled, read, and applied to the engines."""
+    """Discovery: the change log is followed, and its events are applied to the engines."""
 
-    def _dial_log(self, dials: int) -> None:
-        # Guards against two connections: one that was dialled meanwhile, at another address, goes first.
-        if dials != self._log.dials:
+    def __init__(self, options: RouterOptions, now: float) -> None:
+        super().__init__(options, now)
+        self._change_log = Follower(options.changelog, now)
+
+    def _on_change_log_event(self, event: ChangeLogEvent) -> None:
+        """Follow the connection; what an earlier connection still reports is ignored."""
+        match event:
+            case ChangeLogOpened(dial) if dial == self._change_log.dials:
+                self._change_log.opened(self.now)
+            case ChangeLogReceived(update):
+                self._read_change_log(update)
+            case ChangeLogClosed(reason, dial) if dial == self._change_log.dials:
+                self._lose_change_log(reason)
+
+    # --- the connection
+
+    def _dial_change_log(self, dials: int) -> None:
+        """Connect, unless another connection was dialled since this one was scheduled as number ``dials``."""
+        if dials != self._change_log.dials:
             return
-        self._effects.append(follower.dial(self._log, self.now))
-        self._at(self._log_due(), self._check_log, self._log.dials)
+        self._effects.append(self._change_log.dial(self.now))
+        self._timers.add(self._change_log_due(), self._check_change_log, self._change_log.dials)
 
-    def _log_due(self) -> float:
-        return follower.due(self._log, self.settings.rules.drain_grace)
+    def _change_log_due(self) -> float:
+        return self._change_log.due(self.settings.rules.drain_grace)
 
-    def _check_log(self, dials: int) -> None:
-        if not self._log.open or dials != self._log.dials:
+    def _check_change_log(self, dials: int) -> None:
+        """Dial again if the connection has been silent, or has not come up, for too long."""
+        if not self._change_log.open or dials != self._change_log.dials:
             return
-        if self.now < (due := self._log_due()) - 1e-6:
-            self._at(due, self._check_log, dials)
+        due = self._change_log_due()
+        if self.now < due - TIMER_TOLERANCE:
+            self._timers.add(due, self._check_change_log, dials)
             return
-        reason = "silent" if self._log.up else "no connection"
-        self._effects.append(LogLine(f"change log: {reason}; trying again after event {self._log.seq}"))
-        follower.hung(self._log)
-        self._dial_log(dials)
-
-    def _lose_log(self, reason: str) -> None:
-        if self._log.open:
-            self._effects.append(LogLine(f"change log: {reason}; trying again after event {self._log.seq}"))
-            self._at(self.now + follower.lose(self._log), self._dial_log, self._log.dials)
-
-    def _read_log(self, update: ChangeLogUpdate) -> None:
-        if not self._log.open:
+        self._log_change_log_lost("silent" if self._change_log.connected else "no connection")
+        self._change_log.timed_out()
+        self._dial_change_log(self._change_log.dials)
+
+    def _lose_change_log(self, reason: str) -> None:
+        """Dial again after the backoff."""
+        if self._change_log.open:
+            self._log_change_log_lost(reason)
+            delay = self._change_log.lose()
+            self._timers.add(self.now + delay, self._dial_change_log, self._change_log.dials)
+
+    def _log_change_log_lost(self, reason: str) -> None:
+        self._effects.append(LogLine(f"router.change_log.lost seq={self._change_log.seq} reason={reason!r}"))
+
+    def _migrate_change_log(self, address: Address) -> None:
+        if self._change_log.migrate(address):
+            host, port = address
+            self._effects.append(
+                LogLine(f"router.change_log.migrated address={host}:{port} seq={self._change_log.seq}")
+            )
+            self._dial_change_log(self._change_log.dials)
+
+    # --- its events
+
+    def _read_change_log(self, update: ChangeLogUpdate) -> None:
+        if not self._change_log.open:
             return
         self._start_listening()
         try:
-            if follower.read(self._log, update, self.now):
+            if self._change_log.read(update, self.now):
                 self._apply(update)
-        except follower.ChangeLogGapError as error:
-            self._lose_log(str(error))
-
-    def _migrate_change_log(self, address: Address) -> None:
-        if follower.migrate(self._log, address):
-            host, port = address
-            self._effects.append(LogLine(f"change log: at {host}:{port} after event {self._log.seq}"))
-            self._dial_log(self._log.dials)
+        except ChangeLogGapError as error:
+            self._lose_change_log(str(error))
 
     def _apply(self, update: ChangeLogUpdate) -> None:
         change, addresses = update.change, update.addresses or {}
         if change is None:
             return
         if change.how is api.ListKind.FULL:
-            for engine in sorted(self._places.keys() - addresses.keys()):
-                self._retire(engine)
-                self._places[engine].gone = True
-                self._clear(engine)
+            for engine in sorted(self._locations.keys() - addresses.keys()):
+                self._retire_links(engine)
+                self._locations[engine].gone = True
+                self._forget_if_gone(engine)
         for entry in change.engines:
             self._apply_engine(entry, addresses[entry.id])
-        self._pending.append(change)
+        self._module_events.append(change)
 
     def _apply_engine(self, entry: api.Engine, address: Address) -> None:
-        """Take one engine of an event of the change log: where it is, whether it is up, since when."""
+        """Apply the entry of one engine: where it listens, whether it is up, and since when."""
         if entry.state is not api.EngineState.GONE:
-            # Guards against an engine that gets the address of one that has gone: a connection made for
-            # the old one must not carry anything for it.
-            other = self._engine_at.get(address, entry.id)
-            if other != entry.id:
-                self._retire(other, drop=True)
-                self._forget_place(other)
-        old = self._places.get(entry.id)
-        self._set_place(entry.id, Place(address, entry.started, entry.state is api.EngineState.GONE))
+            self._release_address(address, entry.id)
+        old = self._locations.get(entry.id)
+        gone = entry.state is api.EngineState.GONE
+        self._set_location(entry.id, EngineLocation(address, entry.started, gone))
         if entry.state is not api.EngineState.UP:
-            self._retire(entry.id)
-            self._clear(entry.id)
-        elif old is not None and (old.address != address or old.started != entry.started):
+            self._retire_links(entry.id)
+            self._forget_if_gone(entry.id)
+        elif old is not None and (old.address != address or old.started_at != entry.started):
             migrated = old.address != address
-            for link in list(self._engine_links.get(entry.id, ())):
-                if migrated or link.opened < (entry.started or 0.0):  # its process has ended since
-                    self._drop(link)
+            for link in list(self._links_by_engine.get(entry.id, ())):
+                if migrated or link.opened_at < (entry.started or 0.0):  # its process has ended since
+                    self._drop_link(link)
+
+    def _release_address(self, address: Address, engine: str) -> None:
+        """Drop the connections of an engine that had the address before: this engine would answer on them."""
+        previous = self._engine_by_address.get(address, engine)
+        if previous != engine:
+            self._retire_links(previous, drop=True)
+            self._forget_location(previous)
--- /dev/null
+++ b/grebeproxy/net/router/shutdown.py
@@ -0,0 +1,105 @@
+"""Graceful shutdown: clients are moved elsewhere, what was accepted is answered, then the process exits."""
+
+from __future__ import annotations
+
+from grebeproxy.net import admission
+from grebeproxy.net.events import Exit, HalfCloseClient
+from grebeproxy.net.messages import Failed, Rejected
+from grebeproxy.net.router.clients import OVERDUE
+from grebeproxy.net.router.options import RouterOptions
+from grebeproxy.net.router.reload import Reload
+from grebeproxy.policy import interface as api
+
+# Seconds after a stop for which the process accepts connections on a socket of its own. The platform sends
+# new ones for 0.4 s.
+ACCEPT_AFTER_STOP = 0.5
+SERVE_AFTER_STOP = 0.7  # seconds after a stop before which the process does not exit, though all is answered
+# The platform kills the process after the longest deadline, but no later than this, plus KILL_MARGIN.
+KILL_ALONE = 3.0  # seconds
+KILL_SHARED = 5.0  # seconds, where another process takes over the socket
+KILL_MARGIN = 0.6  # seconds, which leaves 0.1 s of the platform's 0.7 s
+MIN_REMAINING = 0.25  # seconds before the last answers are due in which no request is accepted any more
+
+
+class GracefulShutdown(Reload):
+    """Graceful shutdown: clients are moved elsewhere, what was accepted is answered, then the process exits.
+
+    Standby is its first part alone: clients are moved elsewhere, and the process keeps running.
+    """
+
+    def __init__(self, options: RouterOptions, now: float) -> None:
+        super().__init__(options, now)
+        self._shared = options.shared
+        self._exit_when_answered = False
+        self._exited = False
+        # Clients that were between requests when the sockets were read the last time.
+        self._idle_clients: set[int] = set()
+
+    def _enter_standby(self) -> None:
+        if self._standby_since is None:
+            self._standby_since = self.now
+            self._accept_until = min(self._accept_until, self.now + admission.DRAIN_ACCEPT_PERIOD)
+
+    def _leave_standby(self) -> None:
+        self._standby_since = None
+        self._accept_until = float("inf")
+
+    def _stop(self) -> None:
+        """Begin the shutdown; once begun, further stops change nothing."""
+        if self._stopping:
+            return
+        self._stopping = True
+        longest_deadline = max(self._deadlines.values())
+        killed_after = min(longest_deadline, KILL_SHARED if self._shared else KILL_ALONE)
+        last_answers_due = self.now + killed_after + KILL_MARGIN - OVERDUE
+        self._accept_until = min(self._accept_until, last_answers_due - MIN_REMAINING)
+        self._timers.add(last_answers_due, self._answer_all)
+        if self._shared:  # the process that takes over accepts the connections still queued
+            self._stop_listening()
+        else:
+            self._timers.add(self.now + ACCEPT_AFTER_STOP, self._stop_listening)
+        self._timers.add(self.now + SERVE_AFTER_STOP, self._allow_exit)
+
+    def _allow_exit(self) -> None:
+        self._exit_when_answered = True
+
+    def _answer_all(self) -> None:
+        """Answer what is still open, shortly before the process is killed."""
+        idempotent = {
+            query_class.name
+            for query_class in self.settings.classes
+            if query_class.idempotency is api.Idempotency.IDEMPOTENT
+        }
+        for request in [request for request in self._requests.values() if request.awaiting_answer]:
+            msg = request.call.msg
+            if request.call.cls in idempotent:
+                self._answer(request, Rejected(msg, self.settings.max_retry_after))
+            else:
+                self._answer(request, Failed(msg))
+            self._abandon_request(request)
+
+    def _half_close_idle_clients(self) -> None:
+        """Close connections between requests, while clients are moved elsewhere.
+
+        A client may have sent a request that is not read yet. So a connection is closed only if it is still
+        idle after the sockets were read once more.
+        """
+        idle: set[int] = set()
+        if self._draining():
+            idle = {client.conn for client in admission.closable_clients(self._clients)}
+        if self._sockets_read:
+            for conn in sorted(idle & self._idle_clients):
+                self._clients[conn].half_closed_at = self.now
+                self._effects.append(HalfCloseClient(conn))
+            idle -= self._idle_clients
+        self._idle_clients = idle
+
+    def _may_exit(self) -> bool:
+        return self._exit_when_answered and not self._exited and self._all_answered()
+
+    def _exit_if_answered(self) -> None:
+        """Exit, after the sockets were read once more: a request may have arrived in the meantime."""
+        if self._sockets_read and self._may_exit():
+            self._exited = True
+            self._accept_until = self.now
+            self._effects.append(Exit())
--- /dev/null
+++ b/grebeproxy/net/router/timer_queue.py
@@ -0,0 +1,38 @@
+"""The router's timers, in the order in which they are due."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+from heapq import heappop, heappush
+from typing import Any
+
+
+class TimerQueue:
+    """Calls to make at a time. Timers that are due at the same time run in the order they were added.
+
+    ``numbers`` gives ascending numbers, which break ties. There is no cancelling: a callback checks whether
+    its reason still holds.
+    """
+
+    def __init__(self, numbers: Iterator[int]) -> None:
+        self._numbers = numbers
+        self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+
+    def __len__(self) -> int:
+        """How many timers are waiting."""
+        return len(self._heap)
+
+    def add(self, due: float, callback: Callable[..., None], *args: Any) -> None:
+        """Call ``callback(*args)`` once the time is ``due``, in seconds on the router's clock."""
+        heappush(self._heap, (due, next(self._numbers), callback, args))
+
+    def next_due(self) -> float | None:
+        """When the earliest timer is due; ``None`` if there is none."""
+        return self._heap[0][0] if self._heap else None
+
+    def run_due(self, now: float) -> None:
+        """Run all timers due by ``now``, including those that the callbacks add."""
+        heap = self._heap
+        while heap and heap[0][0] <= now:
+            _, _, callback, args = heappop(heap)
+            callback(*args)
--- a/grebeproxy/net/runtime.py
+++ b/grebeproxy/net/runtime.py
@@ -1,4 +1,4 @@
-"""One router on an event loop: reports what happens to the reducer and has its effects carried out.
+"""One router on an event loop: reports what happens to the router and has its effects carried out.
 
 Nothing is decided here.
 """
@@ -69,17 +69,16 @@
         self._done = asyncio.Event()
         self._events: list[events.Event] = []
         self._stepping = False
-        self._router = router.Router(
+        options = router.RouterOptions(
             config.settings,
             config.limits,
             changelog=config.changelog,
             bounds=self.bounds,
             seed=config.seed,
-            now=self.timers.now(),
-            decide=decide,
             shared=shared,
             known=changelog.known_events(config.known, self.timers.from_unix_ms),
         )
+        self._router = router.Router(options, self.timers.now(), decide)
 
     def _override_sync(self) -> OverrideSync | None:
         if not self.config.admin or not self.config.folder:
--- a/tests/test_change_log_delays.py
+++ b/tests/test_change_log_delays.py
@@ -10,7 +10,7 @@
 from grebeproxy.config import parse
 from grebeproxy.net import admission, events, follower
 from grebeproxy.net.messages import Call, ChangeLogUpdate, Run
-from grebeproxy.net.router import Router
+from grebeproxy.net.router import Router, RouterOptions
 from grebeproxy.policy import interface as api
 
 GRACE = 2.0  # of the example's settings: nothing new later than that after the change was written
@@ -34,15 +34,15 @@
         self.answers: list[tuple[float, list[ChangeLogUpdate]]] = []  # what is on its way to the router
         self.broken_until, self.dials = 0.0, 0
         self.hanging = 0  # dials to come that never come up
-        self.router = Router(
+        options = RouterOptions(
             config.settings,
             config.limits,
             changelog=config.changelog,
             seed=1,
-            now=0.0,
             known=known,
             bounds=admission.bounds(config.sockets, config.memory_mb),
         )
+        self.router = Router(options, now=0.0)
         self.carry_out(self.router.start(0.0))
 
     def carry_out(self, effects: list[events.Effect]) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""What crosses in one step of the reducer: nothing is written before all of it is known."""
+"""What crosses in one step of the router: nothing is written before all of it is known."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from grebeproxy.config import parse
 from grebeproxy.net import admission, events
 from grebeproxy.net import messages
-from grebeproxy.net.router import Router
+from grebeproxy.net.router import Router, RouterOptions
 from grebeproxy.policy import interface as api
 
 ENGINE, ADDRESS = "s-00000001", {"s-00000001": ("127.0.0.1", 9001)}
@@ -35,16 +35,15 @@
 def asked(module: type[Scripted] = Scripted) -> Router:
     """A router whose one request waits for its connection, number 1, to come up."""
     config = parse(with_changes({}))
-    router = Router(
+    options = RouterOptions(
         config.settings,
         config.limits,
         changelog=config.changelog,
         seed=1,
-        now=0.0,
-        decide=module,
         bounds=admission.bounds(config.sockets, config.memory_mb),
         known=[listed(api.EngineState.UP)],
     )
+    router = Router(options, now=0.0, decide=module)
     router.start(0.0)
     router.step(0.0, [events.ChangeLogOpened(1)])
     effects = router.step(0.3, [events.ClientOpened(1), events.ClientMessageReceived(1, CALL)])
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -353,9 +353,9 @@
     stage.run()
     assert answers_in(waiting(usual))[0][1:3] == [1, None]
     assert not any(node.faults or node.ejected_at is not None for node in stage.nodes())
-    dials = stage.runtime._router._log.dials
+    dials = stage.runtime._router._change_log.dials
     stage.run(1.0)
-    assert stage.runtime._router._log.dials > dials  # the log is asked for all the same
+    assert stage.runtime._router._change_log.dials > dials  # the log is asked for all the same
     assert all(ended(client) for client in crowd[:30])  # in order, and the oldest first
     stage.end()
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Random orders of what operators, discovery, engines and clients do to the reducer, against a model.
+"""Random orders of what operators, discovery, engines and clients do to the router, against a model.
 
 The model is an oracle of the rules by itself: it knows clients, attempts, windows, keys and the list as told.
 """
@@ -16,7 +16,7 @@
 
 from grebeproxy.net import admission, events
 from grebeproxy.net import messages
-from grebeproxy.net.router import Router
+from grebeproxy.net.router import Router, RouterOptions
 from grebeproxy.policy import interface as api
 from grebeproxy.settings import WireLimits
 
@@ -67,15 +67,15 @@
         self.settings = settings
         engines = tuple(api.Engine(engine, "medium", cell=n) for n, engine in enumerate(ENGINES))
         known = messages.ChangeLogUpdate(1, api.EngineList(api.ListKind.FULL, engines, 1), self.addresses())
-        self.router = Router(
+        options = RouterOptions(
             settings,
             LIMITS,
             changelog=("127.0.0.1", 1),
             bounds=admission.bounds(256, 96.0),
             seed=1,
-            now=90.0,
             known=[known],
         )
+        self.router = Router(options, now=90.0)
         self.seq = 1
         self.carry_out(self.router.start(90.0))
         self.do(events.ChangeLogReceived(messages.ChangeLogUpdate(1)))
@@ -110,7 +110,7 @@
                     assert not any(self.clients.values())
                     self.exited = True
                 case events.LogLine(text):
-                    assert "Traceback" not in text and "no answer was decided" not in text
+                    assert "Traceback" not in text and "router.request.overdue" not in text
 
     def may_serve(self, engine: str) -> bool:
         return engine not in self.out_by_hand and self.listed[engine] is api.EngineState.UP
@@ -367,16 +367,15 @@
 @pytest.mark.parametrize(("shared", "forced"), [(False, 3.7), (True, 5.7)])
 def test_a_router_that_ends_answers_all_before_it_is_forced_to(shared: bool, forced: float) -> None:
     """Deadlines are 20 s here, of which 3 s count, or 5 s where another process takes over."""
-    router = Router(
+    options = RouterOptions(
         BASE,
         LIMITS,
         changelog=("127.0.0.1", 1),
         bounds=admission.bounds(256, 96.0),
         seed=1,
-        now=0.0,
-        decide=Silent,
         shared=shared,
     )
+    router = Router(options, now=0.0, decide=Silent)
     router.start(0.0)
     asked = messages.Call(1, "a" * 16, "load", 20.0, b"x", token="t")
     harmless = replace(asked, msg=2, txn="c" * 16, cls="short")
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -11,7 +11,7 @@
 from grebeproxy.config import parse
 from grebeproxy.net import admission, events, follower
 from grebeproxy.net.messages import ChangeLogUpdate
-from grebeproxy.net.router import Router
+from grebeproxy.net.router import Router, RouterOptions
 from grebeproxy.net.runtime import Runtime
 from grebeproxy.policy import interface as api
 
@@ -20,14 +20,14 @@
 
 def started() -> Router:
     config = parse(with_changes({}))
-    router = Router(
+    options = RouterOptions(
         config.settings,
         config.limits,
         changelog=config.changelog,
         seed=1,
-        now=0.0,
         bounds=admission.bounds(config.sockets, config.memory_mb),
     )
+    router = Router(options, now=0.0)
     assert LISTEN not in router.start(0.0)
     return router
 
@@ -59,7 +59,7 @@
     assert LISTEN in router.step(
         0.01, [events.ChangeLogReceived(ChangeLogUpdate(1, change, {"s-0000000a": ("127.0.0.1", 9000)}))]
     )
-    assert "s-0000000a" in router._places
+    assert "s-0000000a" in router._locations
 
 
 def test_an_address_that_another_listens_on_first_ends_the_start() -> None:
@@ -91,8 +91,8 @@
     whole = ChangeLogUpdate(1, api.EngineList(api.ListKind.FULL, entries), addresses)
     router.step(0.01, [events.ChangeLogReceived(whole)])
     looked: list[str] = []
-    monkeypatch.setattr(router, "_set_place", lambda engine, place: looked.append(engine))
-    monkeypatch.setattr(router, "_forget_place", lambda engine: looked.append(engine))
+    monkeypatch.setattr(router, "_set_location", lambda engine, location: looked.append(engine))
+    monkeypatch.setattr(router, "_forget_location", lambda engine: looked.append(engine))
     moved = ChangeLogUpdate(
         2,
         api.EngineList(api.ListKind.CHANGES, (api.Engine("s-new", "typ-a"),)),
@@ -118,7 +118,7 @@
     tell(2, "s-b", api.EngineState.UP, 9001)
     tell(3, "s-a", api.EngineState.GONE, 9001)
     tell(4, "s-c", api.EngineState.UP, 9001)
-    assert set(router._places) == {"s-c"} and router._engine_at == {("127.0.0.1", 9001): "s-c"}
+    assert set(router._locations) == {"s-c"} and router._engine_by_address == {("127.0.0.1", 9001): "s-c"}
     tell(5, "s-c", api.EngineState.UP, 9002)
     tell(6, "s-d", api.EngineState.UP, 9001)
-    assert set(router._places) == {"s-c", "s-d"} and len(router._engine_at) == 2
+    assert set(router._locations) == {"s-c", "s-d"} and len(router._engine_by_address) == 2
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -170,10 +170,11 @@
     old.send_signal(signal.SIGTERM)
     assert old.wait(timeout=30) == 0
     log = fleet.log(0)
-    assert "not used: torn" in log and "out by hand: s-00000001\n" in log.split("s-00000001 s-00000002")[1]
+    after = log.split("router.engines.disabled engines=s-00000001,s-00000002")[1]
+    assert "not used: torn" in log and "router.engines.disabled engines=s-00000001\n" in after
     assert call(second, "maint-off s-00000001").startswith("ACK")
     third, _ = fleet.start()
-    assert third.poll() is None and "out by hand" not in fleet.log(2)
+    assert third.poll() is None and "router.engines.disabled" not in fleet.log(2)
 
 
 def test_the_admin_endpoint_answers_beside_callers_that_send_nothing(fleet: Fleet) -> None:
