--- /dev/null
+++ b/grebeproxy/net/log_line.py
@@ -0,0 +1,22 @@
+"""The form of the router's log lines: ``component.subject.event key=value ...``."""
+
+from __future__ import annotations
+
+import re
+
+PLAIN_VALUE = re.compile(r"[^\s\"=\\]+")  # needs no quotes
+
+
+def log_line(event: str, **fields: object) -> str:
+    """One line, such as ``router.configuration.rejected error="seed: must be hex digits"``.
+
+    Values with white space, quotes, backslashes or equals signs are quoted, so that a line can be parsed.
+    """
+    return " ".join([event, *(f"{key}={_quoted(str(value))}" for key, value in fields.items())])
+
+
+def _quoted(value: str) -> str:
+    if PLAIN_VALUE.fullmatch(value):
+        return value
+    escaped = value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
+    return f'"{escaped}"'
--- a/grebeproxy/net/router/attempts.py
+++ b/grebeproxy/net/router/attempts.py
@@ -12,6 +12,7 @@
     LinkResumed,
     LogLine,
 )
+from grebeproxy.net.log_line import log_line
 from grebeproxy.net.messages import AnswerKind, End, EngineAnswer, Fetch, Hello, Served, Stop
 from grebeproxy.net.router.engine_links import STOP_TRANSIT, EngineLinks
 from grebeproxy.net.router.records import Attempt, Link, Request
@@ -159,7 +160,7 @@
             case AnswerKind.STALE if attempt.pages is None:
                 self._end_attempt(attempt, api.Outcome.MOOT)
             case AnswerKind.INVALID:  # no other answer on its connection can be trusted either
-                self._effects.append(LogLine(f"router.engine_answer.invalid engine={link.engine}"))
+                self._effects.append(LogLine(log_line("router.engine_answer.invalid", engine=link.engine)))
                 self._drop_link(link)
             case AnswerKind.ALIVE | AnswerKind.OK:  # this OK is a duplicate of the first, and harmless
                 pass
--- a/grebeproxy/net/router/clients.py
+++ b/grebeproxy/net/router/clients.py
@@ -13,6 +13,7 @@
     CloseClient,
     LogLine,
 )
+from grebeproxy.net.log_line import log_line
 from grebeproxy.net.messages import Call, Failed, FromClient, GiveUp, Invalid, Ping, Pong, Rejected, ToClient
 from grebeproxy.net.router.attempts import Attempts
 from grebeproxy.net.router.options import RouterOptions
@@ -168,6 +169,6 @@
         """Answer in time even if the decision module decided nothing."""
         request = self._requests.get(txn)
         if request is not None and request.deadline == deadline and request.awaiting_answer:
-            self._effects.append(LogLine(f"router.request.overdue txn={txn}"))
+            self._effects.append(LogLine(log_line("router.request.overdue", txn=txn)))
             self._answer(request, Failed(request.call.msg))
             self._abandon_request(request)
--- a/grebeproxy/net/router/discovery.py
+++ b/grebeproxy/net/router/discovery.py
@@ -11,6 +11,7 @@
     LogLine,
 )
 from grebeproxy.net.follower import ChangeLogGapError, Follower
+from grebeproxy.net.log_line import log_line
 from grebeproxy.net.messages import ChangeLogUpdate
 from grebeproxy.net.router.clients import Clients
 from grebeproxy.net.router.core import TIMER_TOLERANCE
@@ -68,14 +69,14 @@
             self._timers.add(self.now + delay, self._dial_change_log, self._change_log.dials)
 
     def _log_change_log_lost(self, reason: str) -> None:
-        self._effects.append(LogLine(f"router.change_log.lost seq={self._change_log.seq} reason={reason!r}"))
+        line = log_line("router.change_log.lost", seq=self._change_log.seq, reason=reason)
+        self._effects.append(LogLine(line))
 
     def _migrate_change_log(self, address: Address) -> None:
         if self._change_log.migrate(address):
             host, port = address
-            self._effects.append(
-                LogLine(f"router.change_log.migrated address={host}:{port} seq={self._change_log.seq}")
-            )
+            line = log_line("router.change_log.migrated", address=f"{host}:{port}", seq=self._change_log.seq)
+            self._effects.append(LogLine(line))
             self._dial_change_log(self._change_log.dials)
 
     # --- its events
--- a/grebeproxy/net/router/engine_links.py
+++ b/grebeproxy/net/router/engine_links.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from grebeproxy.net.events import CloseLink, LogLine, OpenLink, Write
+from grebeproxy.net.log_line import log_line
 from grebeproxy.net.messages import Run, ToEngine
 from grebeproxy.net.router.core import TIMER_TOLERANCE
 from grebeproxy.net.router.engine_table import EngineTable
@@ -131,7 +132,7 @@
     def _check_answer_complete(self, link: Link, started_at: float) -> None:
         """Close a connection whose answer stays incomplete: nothing behind it can be received."""
         if link.answer_started_at == started_at and link.id in self._links:
-            self._effects.append(LogLine(f"router.engine_answer.timed_out engine={link.engine}"))
+            self._effects.append(LogLine(log_line("router.engine_answer.timed_out", engine=link.engine)))
             self._drop_link(link)
 
     def _idle_timeout(self) -> float:
--- a/grebeproxy/net/router/overrides.py
+++ b/grebeproxy/net/router/overrides.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from grebeproxy.net.events import LogLine, SaveOverrides
+from grebeproxy.net.log_line import log_line
 from grebeproxy.net.manual_overrides import Calls, ManualOverrides
 from grebeproxy.net.router.discovery import Discovery
 from grebeproxy.net.router.options import RouterOptions
@@ -44,7 +45,7 @@
         if disabled == self._disabled_engines:
             return
         names = ",".join(sorted(disabled)) or "none"
-        self._effects.append(LogLine(f"router.engines.disabled engines={names}"))
+        self._effects.append(LogLine(log_line("router.engines.disabled", engines=names)))
         for engine in disabled - self._disabled_engines:
             self._retire_links(engine)
         self._disabled_engines = disabled
--- a/grebeproxy/net/router/reload.py
+++ b/grebeproxy/net/router/reload.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from grebeproxy.net.events import LogLine, Reloaded
+from grebeproxy.net.log_line import log_line
 from grebeproxy.net.router.core import deadlines_by_class, socket_settings
 from grebeproxy.net.router.overrides import Overrides
 from grebeproxy.policy import interface as api
@@ -23,4 +24,4 @@
         self.settings = settings
         self._deadlines = deadlines_by_class(settings)
         self._module_events.append(api.SettingsChanged(settings))
-        self._effects.append(LogLine("router.settings.changed"))
+        self._effects.append(LogLine(log_line("router.settings.changed")))
