--- a/grebeproxy/lab/capacity/measure/statement.py
+++ b/grebeproxy/lab/capacity/measure/statement.py
@@ -53,10 +53,10 @@
     decoder = msgpack_rpc.Decoder(settings(1))
     calls = [call for request in requests for call in decoder.feed(request) if isinstance(call, Call)]
     assert len(calls) == CODEC_STATEMENTS
-    runs = [Run(call.txn, call.cls, 1.9, call.body, call.token, 64.0) for call in calls]
+    runs = [Run(call.txn, call.query_class, 1.9, call.body, call.token, 64.0) for call in calls]
     report = "count=1,gauges=cpu_share:0.1;pending:0;x0:0.05"
     answers = [_engine_answer(call.txn, report) for call in calls]
-    served = [Served(call.msg, (PAGE,)) for call in calls]
+    served = [Served(call.message_id, (PAGE,)) for call in calls]
     engine_decoder = resp.Decoder()
     return {
         "decode_us": _least_us(lambda: [list(decoder.feed(request)) for request in requests]),
--- a/grebeproxy/net/events.py
+++ b/grebeproxy/net/events.py
@@ -1,4 +1,8 @@
-"""The events that the router takes, and the effects that it asks for. They name no wire protocol."""
+"""The events that the router takes, and the effects that it asks for, independent of the wire protocol.
+
+``conn`` is the number of a client's or an operator's connection, ``link`` that of a connection to an engine.
+Times are in seconds, on the clock that the router's steps are given.
+"""
 
 from __future__ import annotations
 
@@ -25,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientMessageStarted:
-    """A client's message has begun and is not whole."""
+    """The first bytes of a client's message were received, but not all of it."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClientMessageReceived:
-    """A client's message, read whole."""
+    """A client's message was received in full."""
 
     conn: int
     message: FromClient
@@ -54,9 +58,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkClosed:
-    """A connection to an engine has ended, or could not be made.
+    """A connection to an engine has ended, or could not be opened.
 
-    ``local_shortage`` where that was for want of something on this machine.
+    ``local_shortage`` says that this machine ran out of something, such as descriptors.
     """
 
     link: int
@@ -65,21 +69,21 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkPaused:
-    """What was written last is not sent whole yet: nothing more may be written."""
+    """What was written last is not sent in full yet: nothing more may be written."""
 
     link: int
 
 
 @dataclass(frozen=True, slots=True)
 class LinkResumed:
-    """All that was written is sent."""
+    """Everything that was written is sent."""
 
     link: int
 
 
 @dataclass(frozen=True, slots=True)
 class LinkAnswerReceived:
-    """An engine's answer, read whole."""
+    """An engine's answer was received in full."""
 
     link: int
     answer: EngineAnswer
@@ -87,28 +91,28 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkAnswerStarted:
-    """An engine's answer has begun and is not whole."""
+    """The first bytes of an engine's answer were received, but not all of it."""
 
     link: int
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeLogOpened:
-    """The connection to the change log is up, and asked for what is new; ``dial`` as in ``OpenChangeLog``."""
+    """The connection to the change log is up and has sent its request; ``dial`` as in ``OpenChangeLog``."""
 
     dial: int
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeLogReceived:
-    """An event of the change log."""
+    """An event of the change log was received."""
 
     update: ChangeLogUpdate
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeLogClosed:
-    """The connection to the change log, made for ``OpenChangeLog``, has ended or could not be made."""
+    """The connection that ``OpenChangeLog`` asked for has ended, or could not be opened."""
 
     reason: str
     dial: int
@@ -116,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Woken:
-    """The time asked for with ``Wake`` has come, and what came on sockets until then has been reported."""
+    """The time of the last ``Wake`` has come, and all input received by then has been reported."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -128,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminCallReceived:
-    """An operator's call."""
+    """An operator's call was received."""
 
     conn: int
     call: AdminCall
@@ -143,14 +147,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OverridesRead:
-    """The manual overrides that another process of this router has written."""
+    """Another process of this router has written its manual overrides."""
 
     calls: Calls
 
 
 @dataclass(frozen=True, slots=True)
 class Reloaded:
-    """The configuration was read again: where the change log is, and what holds, from now on."""
+    """The configuration was read again; these parts of it take effect."""
 
     changelog: Address
     settings: Settings
@@ -159,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """The router is to finish what it has and end."""
+    """The process is to shut down gracefully."""
 
 
 ClientEvent = Union[ClientOpened, ClientMessageStarted, ClientMessageReceived, ClientClosed]
@@ -183,7 +187,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Write to a client."""
+    """Send a message to a client."""
 
     conn: int
     message: ToClient
@@ -191,21 +195,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseClient:
-    """End a client's connection behind what was written. No ``ClientClosed`` follows."""
+    """Close a client's connection after what was written to it. No ``ClientClosed`` follows."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
 class HalfCloseClient:
-    """End the router's side of a client's connection; ``ClientClosed`` follows."""
+    """Close the router's side of a client's connection. ``ClientClosed`` follows."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerAdmin:
-    """Answer an operator's call and end the connection."""
+    """Answer an operator's call and close the connection."""
 
     conn: int
     done: bool
@@ -214,7 +218,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseAdmin:
-    """End an operator's connection with no answer."""
+    """Close an operator's connection without an answer."""
 
     conn: int
 
@@ -228,7 +232,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenLink:
-    """Connect to an engine."""
+    """Open a connection to an engine."""
 
     link: int
     address: Address
@@ -236,7 +240,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Write to an engine."""
+    """Write commands to an engine, in order."""
 
     link: int
     commands: tuple[ToEngine, ...]
@@ -244,16 +248,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseLink:
-    """End a connection to an engine, or give up making it. No ``LinkClosed`` follows."""
+    """Close a connection to an engine, or give up opening it. No ``LinkClosed`` follows."""
 
     link: int
 
 
 @dataclass(frozen=True, slots=True)
 class OpenChangeLog:
-    """Connect to the change log, ending an earlier connection, and ask for what came after an event.
+    """Connect to the change log, closing an earlier connection, and request the events after ``seq``.
 
-    ``dial`` is its number: what an earlier connection still reports says nothing of this one.
+    ``dial`` is the connection's number. Its events carry it, which tells them from an earlier one's.
     """
 
     address: Address
@@ -277,17 +281,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StartListening:
-    """Take connections from now on."""
+    """Accept clients' connections from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class StopListening:
-    """Take no more connections."""
+    """Accept no more clients' connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class Exit:
-    """All is answered: end the program once what was written is sent."""
+    """Exit, once everything that was written is sent."""
 
 
 Effect = Union[
--- a/grebeproxy/net/manual_overrides.py
+++ b/grebeproxy/net/manual_overrides.py
@@ -1,8 +1,11 @@
-"""Manual overrides: the engines that operators have taken out of service. Plain state and functions, and the
-bytes that carry it from one process to the next; the router calls them.
+"""Manual overrides: the engines that operators have disabled.
 
-Two processes may know of different calls. Each call has a number above all that its process knew, and for
-each engine the higher one holds; so merging is the same in any order and however often it is done.
+Plain state and functions, and the bytes that carry the overrides from one process to the next; the router
+calls them.
+
+The processes of one router may know of different calls. Each call has a number above all that its process
+knew, and for each engine the call with the highest number holds. So merging gives the same result in any
+order, and when repeated.
 """
 
 from __future__ import annotations
@@ -12,15 +15,18 @@
 
 import orjson
 
-MAX_DISABLED = 1024  # engines that are taken out of service at once
-MAX_ENABLED = 64  # engines put back into service that are remembered for another process
-VERSION = 1
+from grebeproxy.errors import GrebeproxyError
+
+MAX_DISABLED = 1024  # engines disabled at once
+MAX_ENABLED = 64  # engines enabled again that are remembered, so that other processes learn of it
+VERSION = 1  # of the format of the bytes
+DIGEST_BYTES = 16
 
-Calls = dict[str, tuple[int, bool]]  # by engine: the number of its latest call, and whether that took it out
+Calls = dict[str, tuple[int, bool]]  # by engine: the number of its latest call, and whether that disabled it
 
 
-class OverrideFileError(Exception):
-    """Bytes that hold no calls of this router."""
+class OverrideFileError(GrebeproxyError):
+    """Bytes that hold no overrides of this router."""
 
 
 @dataclass(slots=True)
@@ -30,36 +36,38 @@
     calls: Calls = field(default_factory=dict)
 
     def disabled(self) -> frozenset[str]:
-        """Engines that get nothing new."""
+        """The engines that get nothing new."""
         return frozenset(engine for engine, (_, disabled) in self.calls.items() if disabled)
 
     def set(self, engine: str, disabled: bool) -> bool:
-        """Record a call. Returns ``False`` only where too many engines are out of service."""
-        if (engine in self.calls and self.calls[engine][1] is disabled) or not (
-            disabled or engine in self.calls
-        ):
+        """Record a call, if it changes anything. Returns ``False`` only if too many engines are disabled."""
+        _, disabled_before = self.calls.get(engine, (0, False))
+        if disabled is disabled_before:
             return True
         if disabled and len(self.disabled()) >= MAX_DISABLED:
             return False
-        self.calls[engine] = (1 + max((number for number, _ in self.calls.values()), default=0), disabled)
-        self._bound()
+        last_number = max((number for number, _ in self.calls.values()), default=0)
+        self.calls[engine] = (last_number + 1, disabled)
+        self._forget_oldest()
         return True
 
     def merge(self, calls: Calls) -> None:
-        """Take what another process knows."""
+        """Take in what another process knows; of calls with equal numbers, the one that disables holds."""
         for engine, (number, disabled) in calls.items():
             self.calls[engine] = max(self.calls.get(engine, (-1, False)), (number, disabled))
-        self._bound()
-
-    def _bound(self) -> None:
-        """Guards the memory and the file: of calls back only the latest are of use to another process."""
-        back = sorted((number, engine) for engine, (number, disabled) in self.calls.items() if not disabled)
-        for _, engine in back[:-MAX_ENABLED]:
+        self._forget_oldest()
+
+    def _forget_oldest(self) -> None:
+        """Bound memory and file: of the calls that enabled an engine, only the latest are needed."""
+        enabled = sorted(
+            (number, engine) for engine, (number, disabled) in self.calls.items() if not disabled
+        )
+        for _, engine in enabled[:-MAX_ENABLED]:
             del self.calls[engine]
 
 
 def encode(name: str, calls: Calls) -> bytes:
-    """The calls of the router of that name, with a digest in the first line."""
+    """The calls of the router of that name: a line with a digest, then JSON."""
     body = orjson.dumps({"version": VERSION, "router": name, "calls": calls}, option=orjson.OPT_SORT_KEYS)
     return _digest(body) + b"\n" + body
 
@@ -82,4 +90,4 @@
 
 
 def _digest(body: bytes) -> bytes:
-    return blake2b(body, digest_size=16).hexdigest().encode()
+    return blake2b(body, digest_size=DIGEST_BYTES).hexdigest().encode()
--- a/grebeproxy/net/messages.py
+++ b/grebeproxy/net/messages.py
@@ -1,4 +1,8 @@
-"""The typed values that codecs decode to and encode from. They name no wire."""
+"""The typed values that codecs decode to and encode from. They are independent of the wire protocol.
+
+Times are in seconds. ``message_id`` is the id that a client gives its request on its connection; ``txn`` is
+the request's id towards engines, unique over all clients.
+"""
 
 from __future__ import annotations
 
@@ -6,11 +10,12 @@
 from enum import Enum
 from typing import Union
 
+from grebeproxy.errors import GrebeproxyError
 from grebeproxy.policy.interface import EngineList
 
 
-class BadFrameError(Exception):
-    """Bytes that the protocol does not allow; the connection they came on cannot be read on."""
+class BadFrameError(GrebeproxyError):
+    """Bytes that violate the protocol; the rest of the stream they came in cannot be decoded."""
 
 
 # --- from clients
@@ -18,12 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request; ``limit`` is how long the client waits, in seconds from when it sent it."""
+    """A request. ``timeout`` is how long the client waits, from when it sent the request."""
 
-    msg: int
+    message_id: int
     txn: str
-    cls: str
-    limit: float
+    query_class: str
+    timeout: float
     body: bytes
     tenant: str | None = None
     is_client_retry: bool = False
@@ -36,27 +41,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """A request that cannot be used, and the field that is at fault."""
+    """A request that cannot be used, and the name of the field that is invalid."""
 
-    msg: int
+    message_id: int
     field: str
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
-    """The client no longer waits for the answer."""
+class CancelRequest:
+    """The client no longer waits for the answer to a request."""
 
-    msg: int
+    message_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """The front asks whether this router serves."""
+    """A health check: does this router accept requests?"""
 
-    msg: int
+    message_id: int
 
 
-FromClient = Union[Call, Invalid, GiveUp, Ping]
+FromClient = Union[Call, Invalid, CancelRequest, Ping]
 
 
 # --- to clients
@@ -64,34 +69,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """All rows of the result, in order, as the parts they came in."""
+    """All rows of the result, in order, as the pages they were received in."""
 
-    msg: int
+    message_id: int
     parts: tuple[bytes, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Not served; a retry is harmless, best after ``later`` seconds (the Retry-After), if given."""
+    """Not served; a retry is harmless, best after ``retry_after`` seconds, if given."""
 
-    msg: int
-    later: float | None = None
+    message_id: int
+    retry_after: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Not served; nothing is promised about the effect."""
+    """Not served, and the statement may or may not have run. ``field`` names one that was invalid."""
 
-    msg: int
+    message_id: int
     field: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Pong:
-    """Whether this router serves."""
+    """The answer to a health check: whether this router accepts requests."""
 
-    msg: int
-    serves: bool
+    message_id: int
+    serving: bool
 
 
 ToClient = Union[Served, Rejected, Failed, Pong]
@@ -102,11 +107,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """Run a request; ``wait`` is how long its answer is waited for, in seconds."""
+    """Run a request. ``timeout`` is how long the router waits for its answer."""
 
     txn: str
-    cls: str
-    wait: float
+    query_class: str
+    timeout: float
     body: bytes
     token: str | None = None
     memory_mb: float | None = None
@@ -114,14 +119,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """Give a request up."""
+    """Cancel a request."""
 
     txn: str
 
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Send a further page, counted from 1."""
+    """Send another page of a result. Pages count from 0; the first is sent without being asked for."""
 
     txn: str
     page: int
@@ -129,14 +134,14 @@
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """No more pages are wanted."""
+    """Send no more pages of a result."""
 
     txn: str
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Tell whether the connection works: the answer is ``ALIVE`` under the tag."""
+    """A health check of the connection. The answer is ``ALIVE`` with the tag as its ``txn``."""
 
     tag: str
 
@@ -148,7 +153,7 @@
 
 
 class AnswerKind(Enum):
-    """What an engine's answer is."""
+    """What an engine's answer says."""
 
     OK = "ok"
     FULL = "full"
@@ -156,12 +161,12 @@
     STALE = "stale"
     PAGE = "page"
     ALIVE = "alive"
-    INVALID = "invalid"  # well framed, with contents that cannot be
+    INVALID = "invalid"  # a well-formed frame with impossible contents
 
 
 @dataclass(frozen=True, slots=True)
 class EngineAnswer:
-    """An answer; ``pages`` comes with OK, ``page`` with PAGE."""
+    """An answer. ``pages``, the number of pages of the result, comes with OK; ``page`` with PAGE."""
 
     txn: str
     kind: AnswerKind
@@ -176,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeLogUpdate:
-    """One event of the change log; without a list it only shows that the log is alive.
+    """One event of the change log; without a ``change`` it is a keep-alive.
 
     ``addresses`` holds host and port by engine id.
     """
@@ -191,36 +196,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """Does this process take clients?"""
+    """Does this process accept clients?"""
 
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceOn:
-    """Nothing new is to go to an engine, whatever its state in the list."""
+    """Disable an engine: it gets nothing new, whatever its state in the engine list."""
 
     engine: str
 
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceOff:
-    """The engine may serve again."""
+    """Enable an engine that was disabled."""
 
     engine: str
 
 
 @dataclass(frozen=True, slots=True)
 class Standby:
-    """Clients are to go elsewhere."""
+    """Move clients to other routers; the process keeps running."""
 
 
 @dataclass(frozen=True, slots=True)
 class Active:
-    """Clients may come again."""
+    """End the standby."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownCall:
-    """A line that is no call."""
+    """A line that is not a call."""
 
 
 AdminCall = Union[Status, MaintenanceOn, MaintenanceOff, Standby, Active, UnknownCall]
--- a/grebeproxy/net/msgpack_rpc.py
+++ b/grebeproxy/net/msgpack_rpc.py
@@ -15,7 +15,7 @@
     Call,
     Failed,
     FromClient,
-    GiveUp,
+    CancelRequest,
     Invalid,
     Ping,
     Pong,
@@ -152,7 +152,7 @@
             case [int(), int(msg), *_] if not 0 <= msg <= MAX_ID:
                 raise MalformedMessageError("a message id that cannot be")
             case [int(kind), str("giveUp"), [int(msg)]] if kind == NOTIFICATION:
-                return GiveUp(msg)
+                return CancelRequest(msg)
             case [int(kind), int(msg), str("probe"), list()] if kind == REQUEST:
                 return Ping(msg)
             case [int(kind), int(msg), str(cls), [dict(fields), bytes(body)]] if kind == REQUEST:
@@ -168,8 +168,8 @@
             return Call(
                 msg,
                 txn=_text(fields, "txn", TXN.fullmatch),
-                cls=self._class(cls),
-                limit=_number(fields, "limit") / 1000,
+                query_class=self._class(cls),
+                timeout=_number(fields, "limit") / 1000,
                 body=body,
                 tenant=self._tenant(fields),
                 is_client_retry=_optional(fields, "second", _any) == "1",
@@ -256,12 +256,12 @@
         case Served():
             result = [b"".join(answer.parts), {}]
         case Pong():
-            result = [answer.serves, {}]
+            result = [answer.serving, {}]
         case Rejected():
-            later = {} if answer.later is None else {"later": str(math.ceil(answer.later * 1000))}
+            later = {} if answer.retry_after is None else {"later": str(math.ceil(answer.retry_after * 1000))}
             error = ["TryLater", later]
         case Failed():
             field = answer.field
             error = ["Aborted", {}] if field is None else ["BadField", {"field": field}]
-    packed: bytes = msgpack.packb([RESPONSE, answer.msg, error, result])
+    packed: bytes = msgpack.packb([RESPONSE, answer.message_id, error, result])
     return packed
--- a/grebeproxy/net/resp.py
+++ b/grebeproxy/net/resp.py
@@ -38,7 +38,7 @@
     """The bytes of one command."""
     match command:
         case Run():
-            fields = f"kind={command.cls},ms={max(1, int(command.wait * 1000))}"
+            fields = f"kind={command.query_class},ms={max(1, int(command.timeout * 1000))}"
             if command.token is not None:
                 fields += f",token={command.token}"
             if command.memory_mb:
--- a/grebeproxy/net/router/answers.py
+++ b/grebeproxy/net/router/answers.py
@@ -32,7 +32,7 @@
         request.awaiting_answer = False
         client = self._clients.get(request.conn)
         if client is not None:
-            client.requests.pop(request.call.msg, None)
+            client.requests.pop(request.call.message_id, None)
             client.idle_since = self.now
 
     def _forget_if_finished(self, request: Request) -> None:
--- a/grebeproxy/net/router/attempts.py
+++ b/grebeproxy/net/router/attempts.py
@@ -180,7 +180,7 @@
             self._end_attempt(attempt, api.Outcome.ERROR)
         elif None not in pages:
             parts = tuple(page for page in pages if page is not None)
-            self._answer(request, Served(request.call.msg, parts))
+            self._answer(request, Served(request.call.message_id, parts))
             self._end_attempt(attempt, api.Outcome.OK, settled=True)
         elif self._partial_result_bytes > self._bounds.pages:
             # Bounds memory when many results arrive a page at a time; it is no fault of the engine.
--- a/grebeproxy/net/router/clients.py
+++ b/grebeproxy/net/router/clients.py
@@ -14,7 +14,17 @@
     LogLine,
 )
 from grebeproxy.net.log_line import log_line
-from grebeproxy.net.messages import Call, Failed, FromClient, GiveUp, Invalid, Ping, Pong, Rejected, ToClient
+from grebeproxy.net.messages import (
+    Call,
+    CancelRequest,
+    Failed,
+    FromClient,
+    Invalid,
+    Ping,
+    Pong,
+    Rejected,
+    ToClient,
+)
 from grebeproxy.net.router.attempts import Attempts
 from grebeproxy.net.router.options import RouterOptions
 from grebeproxy.net.router.records import Request
@@ -92,14 +102,14 @@
         match message:
             case Call():
                 self._on_call(client, message)
-            case GiveUp(msg):
+            case CancelRequest(message_id):
                 # The request is unknown if the message crossed its answer.
-                if msg in client.requests:
-                    self._abandon_request(client.requests[msg])
-            case Ping(msg):
-                self._effects.append(Answer(client.conn, Pong(msg, not self._draining())))
-            case Invalid(msg, name):
-                self._count_unusable(client, Failed(msg, name))
+                if message_id in client.requests:
+                    self._abandon_request(client.requests[message_id])
+            case Ping(message_id):
+                self._effects.append(Answer(client.conn, Pong(message_id, not self._draining())))
+            case Invalid(message_id, field):
+                self._count_unusable(client, Failed(message_id, field))
 
     def _count_unusable(self, client: admission.Client[Request], answer: ToClient) -> None:
         """Answer an unusable request; a client that keeps sending them is disconnected, to protect others."""
@@ -111,14 +121,14 @@
 
     def _on_call(self, client: admission.Client[Request], call: Call) -> None:
         """Accept a request, reject it, or disconnect the client."""
-        rejected = Rejected(call.msg, self.settings.max_retry_after)
-        if call.msg in client.requests:
+        rejected = Rejected(call.message_id, self.settings.max_retry_after)
+        if call.message_id in client.requests:
             # Two answers with one id could not be told apart: nothing on this connection can be trusted.
             self._close_client(client.conn)
         elif call.txn in self._requests:
             # An engine still has a request with this id; the answers to both would mix.
-            self._count_unusable(client, Failed(call.msg, "txn"))
-        elif call.cls not in self._deadlines:  # the class was removed, which its clients may not know yet
+            self._count_unusable(client, Failed(call.message_id, "txn"))
+        elif call.query_class not in self._deadlines:  # removed, which clients may not know yet
             self._effects.append(Answer(client.conn, rejected))
         elif len(client.requests) >= admission.MAX_OPEN_REQUESTS:
             self._count_unusable(client, rejected)
@@ -136,15 +146,15 @@
 
     def _accept_request(self, client: admission.Client[Request], call: Call) -> None:
         # At most the deadline of its class: client limits of hours would make records pile up.
-        deadline = self.now + min(call.limit, self._deadlines[call.cls]) - TRANSIT
+        deadline = self.now + min(call.timeout, self._deadlines[call.query_class]) - TRANSIT
         request = Request(call, client.conn, deadline)
-        self._requests[call.txn] = client.requests[call.msg] = request
+        self._requests[call.txn] = client.requests[call.message_id] = request
         self._statement_bytes += len(call.body)
         self._timers.add(deadline + OVERDUE, self._fail_overdue, call.txn, deadline)
         self._module_events.append(
             api.Query(
                 call.txn,
-                call.cls,
+                call.query_class,
                 deadline,
                 tenant=call.tenant,
                 key=call.key,
@@ -170,5 +180,5 @@
         request = self._requests.get(txn)
         if request is not None and request.deadline == deadline and request.awaiting_answer:
             self._effects.append(LogLine(log_line("router.request.overdue", txn=txn)))
-            self._answer(request, Failed(request.call.msg))
+            self._answer(request, Failed(request.call.message_id))
             self._abandon_request(request)
--- a/grebeproxy/net/router/decisions.py
+++ b/grebeproxy/net/router/decisions.py
@@ -66,10 +66,10 @@
                     self._requests[action.id].memory_mb = action.memory_mb
             case api.Reject():
                 if (request := self._requests.get(action.id)) is not None:
-                    self._answer(request, Rejected(request.call.msg, action.retry_after))
+                    self._answer(request, Rejected(request.call.message_id, action.retry_after))
             case api.Fail():
                 if (request := self._requests.get(action.id)) is not None:
-                    self._answer(request, Failed(request.call.msg))
+                    self._answer(request, Failed(request.call.message_id))
             case api.Cancel():
                 request = self._requests.get(action.id)
                 if request and request.in_flight and request.in_flight.number == action.attempt:
--- a/grebeproxy/net/router/engine_links.py
+++ b/grebeproxy/net/router/engine_links.py
@@ -117,7 +117,9 @@
     def _run_command(self, attempt: Attempt) -> Run:
         request = attempt.request
         call = request.call
-        return Run(call.txn, call.cls, attempt.deadline - self.now, call.body, call.token, request.memory_mb)
+        return Run(
+            call.txn, call.query_class, attempt.deadline - self.now, call.body, call.token, request.memory_mb
+        )
 
     def _command(self, link: Link, *commands: ToEngine) -> None:
         if link.id in self._links:
--- a/grebeproxy/net/router/shutdown.py
+++ b/grebeproxy/net/router/shutdown.py
@@ -71,11 +71,11 @@
             if query_class.idempotency is api.Idempotency.IDEMPOTENT
         }
         for request in [request for request in self._requests.values() if request.awaiting_answer]:
-            msg = request.call.msg
-            if request.call.cls in idempotent:
-                self._answer(request, Rejected(msg, self.settings.max_retry_after))
+            message_id = request.call.message_id
+            if request.call.query_class in idempotent:
+                self._answer(request, Rejected(message_id, self.settings.max_retry_after))
             else:
-                self._answer(request, Failed(msg))
+                self._answer(request, Failed(message_id))
             self._abandon_request(request)
 
     def _half_close_idle_clients(self) -> None:
--- a/tests/test_capacity_measure.py
+++ b/tests/test_capacity_measure.py
@@ -51,7 +51,7 @@
     statements, decoder = Statements(1), msgpack_rpc.Decoder(settings(12))
     calls = [call for number in range(200) for call in decoder.feed(statements.request(number))]
     assert all(isinstance(call, Call) for call in calls) and len(calls) == 200
-    assert {call.cls for call in calls if isinstance(call, Call)} == {"lookup", "report", "load"}
+    assert {call.query_class for call in calls if isinstance(call, Call)} == {"lookup", "report", "load"}
     assert len({call.txn for call in calls if isinstance(call, Call)}) == 200
 
 
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -94,8 +94,8 @@
     assert trouble is None
     for call, (number, cls, fields, body) in zip(calls, requests, strict=True):
         assert isinstance(call, messages.Call)
-        assert (call.msg, call.cls, call.txn, call.body) == (number, cls, fields["txn"], body)
-        assert call.limit == int(fields["limit"]) / 1000 and call.is_client_retry is ("second" in fields)
+        assert (call.message_id, call.query_class, call.txn, call.body) == (number, cls, fields["txn"], body)
+        assert call.timeout == int(fields["limit"]) / 1000 and call.is_client_retry is ("second" in fields)
         assert (call.token, call.key) == (fields.get("unique"), fields.get("item"))
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -81,7 +81,7 @@
     "crossing",
     [
         events.ClientClosed(1),
-        events.ClientMessageReceived(1, messages.GiveUp(1)),
+        events.ClientMessageReceived(1, messages.CancelRequest(1)),
         events.OverridesRead({ENGINE: (1, True)}),
         events.ChangeLogReceived(listed(api.EngineState.DRAINING, 2)),
         events.ChangeLogReceived(listed(api.EngineState.GONE, 2)),
@@ -117,7 +117,7 @@
         link(router), messages.EngineAnswer(CALL.txn, messages.AnswerKind.OK, b"")
     )
     assert not any(isinstance(effect, events.HalfCloseClient) for effect in router.step(0.33, [served]))
-    more = replace(CALL, msg=2, txn="b" * 16)
+    more = replace(CALL, message_id=2, txn="b" * 16)
     effects = router.step(0.34, [events.ClientMessageReceived(1, more), events.Woken()])
     assert not any(isinstance(effect, events.HalfCloseClient) for effect in effects)
     assert len(runs(effects)) == 1
@@ -141,7 +141,7 @@
         link(router), messages.EngineAnswer(CALL.txn, messages.AnswerKind.OK, b"")
     )
     assert events.Exit() not in router.step(1.3, [served])
-    late = replace(CALL, msg=1, txn="c" * 16)  # was there when the last answer was given
+    late = replace(CALL, message_id=1, txn="c" * 16)  # was there when the last answer was given
     crossing: list[events.Event] = [
         events.ClientOpened(2),
         events.ClientMessageReceived(2, late),
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -151,10 +151,10 @@
 
     def answered(self, conn: int, message: messages.ToClient) -> None:
         if isinstance(message, messages.Pong):
-            assert message.serves is (self.serves and not self.stopped)
+            assert message.serving is (self.serves and not self.stopped)
             return
-        assert message.msg in self.clients[conn], "an answer that nobody is owed"
-        txn = self.clients[conn].pop(message.msg)
+        assert message.message_id in self.clients[conn], "an answer that nobody is owed"
+        txn = self.clients[conn].pop(message.message_id)
         if isinstance(message, messages.Served):
             self.out.pop(txn, None)
 
@@ -229,7 +229,7 @@
         if self.clients.get(conn):
             number = data.draw(st.sampled_from(sorted(self.clients[conn])))
             self.left[self.clients[conn].pop(number)] = self.now
-            back = events.ClientMessageReceived(conn, messages.GiveUp(number))
+            back = events.ClientMessageReceived(conn, messages.CancelRequest(number))
             self.do(*(self.coming_up(data) if crossing else []), back)
 
     def coming_up(self, data: st.DataObject) -> list[events.Event]:
@@ -378,12 +378,12 @@
     router = Router(options, now=0.0, decide=Silent)
     router.start(0.0)
     asked = messages.Call(1, "a" * 16, "load", 20.0, b"x", token="t")
-    harmless = replace(asked, msg=2, txn="c" * 16, cls="short")
+    harmless = replace(asked, message_id=2, txn="c" * 16, query_class="short")
     router.step(0.3, [events.ClientOpened(1), events.ClientMessageReceived(1, asked)])
     assert (events.StopListening() in router.step(0.4, [events.StopRequested()])) is shared
     router.step(0.4 + forced - 0.5, [events.ClientMessageReceived(1, harmless)])
     late = router.step(
-        0.4 + forced - 0.3, [events.ClientMessageReceived(1, replace(asked, msg=3, txn="b" * 16))]
+        0.4 + forced - 0.3, [events.ClientMessageReceived(1, replace(asked, message_id=3, txn="b" * 16))]
     )
     assert events.Answer(1, messages.Rejected(3, 1.0)) in late
     assert events.Answer(1, messages.Failed(1)) not in late
