--- a/tests/test_change_log_delays.py
+++ b/tests/test_change_log_delays.py
@@ -1,4 +1,4 @@
-"""A change of the list counts from when it is written: how soon it is obeyed, whatever the link does."""
+"""How soon a change of the engine list is obeyed, from when it was written, whatever the connection does."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 from grebeproxy.net.router import Router, RouterOptions
 from grebeproxy.policy import interface as api
 
-GRACE = 2.0  # of the example's settings: nothing new later than that after the change was written
+# Seconds, of the example's settings, after a change was written in which new requests may still be sent.
+DRAIN_GRACE = 2.0
 ADDRESS = {"s-00000001": ("127.0.0.1", 9001)}
 
 
-class Fleet:
-    """A router, and a change log that answers each dial with all it holds, after ``way`` seconds."""
+class FollowedChangeLog:
+    """A router, and a change log that responds to each dial with all events after ``latency`` seconds."""
 
-    def __init__(self, way: float) -> None:
+    def __init__(self, latency: float) -> None:
         config = parse(with_changes({}))
         known = [
             ChangeLogUpdate(
@@ -29,11 +30,12 @@
                 ADDRESS,
             )
         ]
-        self.now, self.way, self.number, self.runs = 0.0, way, 0, 0
+        self.now, self.latency, self.number, self.runs = 0.0, latency, 0, 0
         self.log: list[ChangeLogUpdate] = []
-        self.answers: list[tuple[float, list[ChangeLogUpdate]]] = []  # what is on its way to the router
+        # Events on their way to the router, with their time of arrival.
+        self.in_transit: list[tuple[float, list[ChangeLogUpdate]]] = []
         self.broken_until, self.dials = 0.0, 0
-        self.hanging = 0  # dials to come that never come up
+        self.hanging_dials = 0  # how many of the next dials never connect
         options = RouterOptions(
             config.settings,
             config.limits,
@@ -52,25 +54,25 @@
                     self.dials = dial
                     if self.now < self.broken_until:
                         continue
-                    if self.hanging:
-                        self.hanging -= 1
+                    if self.hanging_dials:
+                        self.hanging_dials -= 1
                         continue
                     self.carry_out(self.router.step(self.now, [events.ChangeLogOpened(dial)]))
                     newer = [ChangeLogUpdate(seq)] + [update for update in self.log if update.seq > seq]
-                    self.answers.append((self.now + self.way, newer))
+                    self.in_transit.append((self.now + self.latency, newer))
                 case events.OpenLink(link, _):
                     self.carry_out(self.router.step(self.now, [events.LinkOpened(link)]))
                 case events.Write(_, commands):
                     self.runs += sum(isinstance(command, Run) for command in commands)
 
     def run(self, until: float, *, frames: bool) -> None:
-        """Let the time pass, with a frame each second where the link is sound, and a query each 20 ms."""
+        """Let time pass, with a query each 20 ms, and a frame each second if ``frames``."""
         while self.now < until:
             self.now += 0.01
             reported: list[events.Event] = [events.Woken()]
-            for at, newer in [answer for answer in self.answers if answer[0] <= self.now]:
+            for at, newer in [answer for answer in self.in_transit if answer[0] <= self.now]:
                 reported += [events.ChangeLogReceived(update) for update in newer]
-                self.answers.remove((at, newer))
+                self.in_transit.remove((at, newer))
             if frames and round(self.now * 100) % 100 == 0:
                 reported.append(
                     events.ChangeLogReceived(ChangeLogUpdate(self.log[-1].seq if self.log else 1))
@@ -86,95 +88,96 @@
                 ]
             self.carry_out(self.router.step(self.now, reported))
 
-    def drains(self) -> None:
-        """The log writes that the engine drains; the connection may or may not tell."""
+    def drain_engine(self) -> None:
+        """The log records that the engine is draining; the connection may or may not deliver it."""
         draining = api.Engine("s-00000001", "typ-a", "room-1", state=api.EngineState.DRAINING)
         self.log.append(ChangeLogUpdate(2, api.EngineList(api.ListKind.CHANGES, (draining,), 2), ADDRESS))
 
-    def obeys(self) -> bool:
-        """Nothing new goes there once the grace is over."""
-        self.run(self.now + GRACE - 0.02, frames=False)
+    def obeys_drain(self) -> bool:
+        """Whether nothing new is sent to the engine once the grace period is over."""
+        self.run(self.now + DRAIN_GRACE - 0.02, frames=False)
         self.runs = 0
         self.run(self.now + 1.0, frames=False)
         return not self.runs
 
 
 @pytest.mark.parametrize("phase", [0.0, 0.25, 0.5, 0.75, 0.99])
-def test_a_link_that_falls_silent_just_before_a_change_is_given_up_in_time(phase: float) -> None:
-    fleet = Fleet(way=0.05)
-    fleet.run(3.0 + phase, frames=True)
-    assert fleet.runs
-    fleet.drains()  # the connection stays open and says no more
-    assert fleet.obeys()
+def test_a_connection_that_falls_silent_just_before_a_change_times_out_early_enough(phase: float) -> None:
+    scene = FollowedChangeLog(latency=0.05)
+    scene.run(3.0 + phase, frames=True)
+    assert scene.runs
+    scene.drain_engine()  # the connection stays open and delivers nothing more
+    assert scene.obeys_drain()
 
 
 @pytest.mark.parametrize("phase", [0.0, 0.5, 0.99])
-def test_a_dial_that_never_comes_up_is_given_up_in_time_for_another(phase: float) -> None:
-    fleet = Fleet(way=0.05)
-    fleet.run(3.0 + phase, frames=True)
-    fleet.drains()
-    fleet.hanging = 1  # the first dial after the silence
-    assert fleet.obeys()
-
-
-def test_connections_that_are_slow_to_come_up_are_given_ever_more_time() -> None:
-    fleet = Fleet(way=0.05)
-    fleet.run(2.0, frames=True)
-    dials, fleet.hanging, patience = [], 5, []
-    fleet.carry_out(fleet.router.step(fleet.now, [events.ChangeLogClosed("reset", fleet.dials)]))
+def test_a_dial_that_hangs_times_out_early_enough_for_another(phase: float) -> None:
+    scene = FollowedChangeLog(latency=0.05)
+    scene.run(3.0 + phase, frames=True)
+    scene.drain_engine()
+    scene.hanging_dials = 1  # the first dial after the silence
+    assert scene.obeys_drain()
+
+
+def test_the_connect_timeout_doubles_while_connections_hang() -> None:
+    scene = FollowedChangeLog(latency=0.05)
+    scene.run(2.0, frames=True)
+    dials: list[float] = []
+    scene.hanging_dials = 5
+    scene.carry_out(scene.router.step(scene.now, [events.ChangeLogClosed("reset", scene.dials)]))
     for _ in range(800):
-        before = fleet.dials
-        fleet.run(fleet.now + 0.01, frames=False)
-        dials += [fleet.now] * (fleet.dials > before)
-    patience = [round(later - dialled, 1) for dialled, later in pairwise(dials[:5])]
-    assert patience == [0.4, 0.8, 1.6, 1.6]
-
-
-def test_what_an_ended_connection_still_tells_says_nothing_of_the_next() -> None:
-    fleet = Fleet(way=0.05)
-    fleet.run(3.0, frames=True)
-    fleet.carry_out(fleet.router.step(fleet.now, [events.ChangeLogClosed("reset", fleet.dials)]))
-    fleet.run(3.2, frames=True)
-    before = fleet.dials
+        before = scene.dials
+        scene.run(scene.now + 0.01, frames=False)
+        dials += [scene.now] * (scene.dials > before)
+    timeouts = [round(later - dialled, 1) for dialled, later in pairwise(dials[:5])]
+    assert timeouts == [0.4, 0.8, 1.6, 1.6]
+
+
+def test_late_events_of_a_closed_connection_do_not_affect_the_next() -> None:
+    scene = FollowedChangeLog(latency=0.05)
+    scene.run(3.0, frames=True)
+    scene.carry_out(scene.router.step(scene.now, [events.ChangeLogClosed("reset", scene.dials)]))
+    scene.run(3.2, frames=True)
+    before = scene.dials
     assert before == 2
     late: list[events.Event] = [events.ChangeLogOpened(1), events.ChangeLogClosed("reset", 1)]
-    fleet.carry_out(fleet.router.step(fleet.now, late))
-    fleet.run(4.0, frames=True)
-    assert fleet.dials == before
+    scene.carry_out(scene.router.step(scene.now, late))
+    scene.run(4.0, frames=True)
+    assert scene.dials == before
 
 
 @pytest.mark.parametrize("broken", [0.0, 0.3, 0.8, 1.4])
-def test_a_link_that_breaks_is_dialled_until_it_is_heard(broken: float) -> None:
-    fleet = Fleet(way=0.05)
-    fleet.run(3.0, frames=True)
-    fleet.drains()
-    written, fleet.broken_until = fleet.now, fleet.now + broken  # connections are refused at first
-    fleet.carry_out(fleet.router.step(fleet.now, [events.ChangeLogClosed("reset", fleet.dials)]))
-    while fleet.now < written + GRACE - 0.02:
-        fleet.run(fleet.now + 0.03, frames=False)
-        if fleet.now < fleet.broken_until:
-            fleet.carry_out(fleet.router.step(fleet.now, [events.ChangeLogClosed("refused", fleet.dials)]))
-    fleet.runs = 0
-    fleet.run(fleet.now + 1.0, frames=False)
-    assert not fleet.runs
-
-
-def test_a_start_takes_nobody_before_it_has_heard_what_was_written_meanwhile() -> None:
-    fleet = Fleet(way=follower.FIRST_EVENT_TIMEOUT / 2)
-    fleet.drains()  # after the configuration was made, before the router asked
-    fleet.answers = [(at, [ChangeLogUpdate(1), *fleet.log]) for at, _ in fleet.answers]
-    listening = [fleet.router.step(0.01, [])]
+def test_a_broken_connection_is_dialled_again_until_it_delivers(broken: float) -> None:
+    scene = FollowedChangeLog(latency=0.05)
+    scene.run(3.0, frames=True)
+    scene.drain_engine()
+    written, scene.broken_until = scene.now, scene.now + broken  # connections are refused at first
+    scene.carry_out(scene.router.step(scene.now, [events.ChangeLogClosed("reset", scene.dials)]))
+    while scene.now < written + DRAIN_GRACE - 0.02:
+        scene.run(scene.now + 0.03, frames=False)
+        if scene.now < scene.broken_until:
+            scene.carry_out(scene.router.step(scene.now, [events.ChangeLogClosed("refused", scene.dials)]))
+    scene.runs = 0
+    scene.run(scene.now + 1.0, frames=False)
+    assert not scene.runs
+
+
+def test_a_start_accepts_no_clients_before_it_received_what_was_written_meanwhile() -> None:
+    scene = FollowedChangeLog(latency=follower.FIRST_EVENT_TIMEOUT / 2)
+    scene.drain_engine()  # after the configuration was made, before the router asked
+    scene.in_transit = [(at, [ChangeLogUpdate(1), *scene.log]) for at, _ in scene.in_transit]
+    listening = [scene.router.step(0.01, [])]
     for step in range(2, 20):
-        fleet.now = step / 100
+        scene.now = step / 100
         heard = [
             events.ChangeLogReceived(update)
-            for at, newer in fleet.answers
-            if at <= fleet.now
+            for at, newer in scene.in_transit
+            if at <= scene.now
             for update in newer
         ]
-        fleet.answers = [answer for answer in fleet.answers if answer[0] > fleet.now]
-        listening.append(fleet.router.step(fleet.now, heard))
+        scene.in_transit = [answer for answer in scene.in_transit if answer[0] > scene.now]
+        listening.append(scene.router.step(scene.now, heard))
         if events.StartListening() in listening[-1]:
             break
-    fleet.run(0.6, frames=False)
-    assert events.StartListening() in listening[-1] and not fleet.runs
+    scene.run(0.6, frames=False)
+    assert events.StartListening() in listening[-1] and not scene.runs
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""What crosses in one step of the router: nothing is written before all of it is known."""
+"""Events that cross in one step of the router: nothing is written before all of them were processed."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 
 
 class Scripted:
-    """In the module's place: sends each query to the one engine, once, and keeps what it heard."""
+    """Replaces the decision module: sends each query to the one engine, once, and records its events."""
 
-    by: float | None = None
+    write_by: float | None = None
 
     def __init__(self, settings: api.Settings, now: float, seed: int) -> None:
-        self.heard: list[api.Event] = []
+        self.received: list[api.Event] = []
 
     def handle(self, now: float, batch: list[api.Event]) -> list[api.Action]:
-        self.heard += batch
+        self.received += batch
         queries = (event for event in batch if isinstance(event, api.Query))
-        return [api.Send(query.id, ENGINE, query.due, self.by) for query in queries]
+        return [api.Send(query.id, ENGINE, query.due, self.write_by) for query in queries]
 
 
-def asked(module: type[Scripted] = Scripted) -> Router:
-    """A router whose one request waits for its connection, number 1, to come up."""
+def router_with_request(module: type[Scripted] = Scripted) -> Router:
+    """A router whose one request waits for its connection, number 1, to open."""
     config = parse(with_changes({}))
     options = RouterOptions(
         config.settings,
@@ -41,7 +41,7 @@
         changelog=config.changelog,
         seed=1,
         bounds=admission.bounds(config.sockets, config.memory_mb),
-        known=[listed(api.EngineState.UP)],
+        known=[list_event(api.EngineState.UP)],
     )
     router = Router(options, now=0.0, decide=module)
     router.start(0.0)
@@ -51,7 +51,7 @@
     return router
 
 
-def listed(state: api.EngineState, seq: int = 1) -> messages.ChangeLogUpdate:
+def list_event(state: api.EngineState, seq: int = 1) -> messages.ChangeLogUpdate:
     how = api.ListKind.FULL if seq == 1 else api.ListKind.CHANGES
     entry = api.Engine(ENGINE, "typ-a", "room-1", state=state)
     return messages.ChangeLogUpdate(seq, api.EngineList(how, (entry,), seq), ADDRESS)
@@ -62,7 +62,7 @@
     return number
 
 
-def runs(effects: Sequence[events.Effect]) -> list[messages.Run]:
+def run_commands(effects: Sequence[events.Effect]) -> list[messages.Run]:
     return [
         command
         for effect in effects
@@ -72,9 +72,9 @@
     ]
 
 
-def test_a_connection_that_comes_up_carries_what_waited_for_it() -> None:
-    router = asked()
-    assert len(runs(router.step(0.31, [events.LinkOpened(link(router))]))) == 1
+def test_a_connection_that_opens_carries_the_waiting_attempt() -> None:
+    router = router_with_request()
+    assert len(run_commands(router.step(0.31, [events.LinkOpened(link(router))]))) == 1
 
 
 @pytest.mark.parametrize(
@@ -83,34 +83,34 @@
         events.ClientClosed(1),
         events.ClientMessageReceived(1, messages.CancelRequest(1)),
         events.OverridesRead({ENGINE: (1, True)}),
-        events.ChangeLogReceived(listed(api.EngineState.DRAINING, 2)),
-        events.ChangeLogReceived(listed(api.EngineState.GONE, 2)),
+        events.ChangeLogReceived(list_event(api.EngineState.DRAINING, 2)),
+        events.ChangeLogReceived(list_event(api.EngineState.GONE, 2)),
     ],
-    ids=["closed", "given up", "out by hand", "drains", "gone"],
+    ids=["closed", "cancelled", "disabled", "drains", "gone"],
 )
-def test_a_connection_that_comes_up_in_the_step_that_ends_its_attempt_carries_nothing(
+def test_a_connection_that_opens_in_the_step_that_ends_its_attempt_carries_nothing(
     crossing: events.Event,
 ) -> None:
-    router = asked()
-    assert not runs(router.step(0.31, [events.LinkOpened(link(router)), crossing]))
-    assert not runs(router.step(0.4, [events.Woken()]))
+    router = router_with_request()
+    assert not run_commands(router.step(0.31, [events.LinkOpened(link(router)), crossing]))
+    assert not run_commands(router.step(0.4, [events.Woken()]))
 
 
 @pytest.mark.parametrize(("up", "leaves"), [(0.34, True), (0.36, False)])
-def test_a_repeat_that_waits_for_a_connection_does_not_leave_past_its_window(up: float, leaves: bool) -> None:
+def test_a_retry_that_waits_for_a_connection_is_not_written_past_its_window(up: float, leaves: bool) -> None:
     class Bounded(Scripted):
-        by = 0.35
+        write_by = 0.35
 
-    router = asked(Bounded)
-    assert bool(runs(router.step(up, [events.LinkOpened(link(router))]))) is leaves
+    router = router_with_request(Bounded)
+    assert bool(run_commands(router.step(up, [events.LinkOpened(link(router))]))) is leaves
     router.step(up + 0.02, [events.Woken()])
-    heard = router._choice.heard  # type: ignore[attr-defined]
-    ends = [event.outcome for event in heard if isinstance(event, api.AttemptEnded)]
+    received = router._choice.received  # type: ignore[attr-defined]
+    ends = [event.outcome for event in received if isinstance(event, api.AttemptEnded)]
     assert ends == [] if leaves else ends == [api.Outcome.MOOT]
 
 
-def test_a_client_between_requests_is_looked_at_once_more_before_its_connection_ends() -> None:
-    router = asked()
+def test_an_idle_client_is_read_once_more_before_its_connection_closes() -> None:
+    router = router_with_request()
     router.step(0.31, [events.LinkOpened(link(router))])
     router.step(0.32, [events.StopRequested()])
     served = events.LinkAnswerReceived(
@@ -120,7 +120,7 @@
     more = replace(CALL, message_id=2, txn="b" * 16)
     effects = router.step(0.34, [events.ClientMessageReceived(1, more), events.Woken()])
     assert not any(isinstance(effect, events.HalfCloseClient) for effect in effects)
-    assert len(runs(effects)) == 1
+    assert len(run_commands(effects)) == 1
     router.step(
         0.35,
         [
@@ -132,8 +132,8 @@
     assert events.HalfCloseClient(1) in router.step(0.36, [events.Woken()])
 
 
-def test_the_program_ends_only_behind_a_look_at_what_has_come() -> None:
-    router = asked()
+def test_the_program_exits_only_after_pending_input_was_read() -> None:
+    router = router_with_request()
     router.step(0.31, [events.LinkOpened(link(router)), events.StopRequested()])
     for at in (0.9, 1.2):
         router.step(at, [events.Woken()])
@@ -141,7 +141,7 @@
         link(router), messages.EngineAnswer(CALL.txn, messages.AnswerKind.OK, b"")
     )
     assert events.Exit() not in router.step(1.3, [served])
-    late = replace(CALL, message_id=1, txn="c" * 16)  # was there when the last answer was given
+    late = replace(CALL, message_id=1, txn="c" * 16)  # was received when the last answer was sent
     crossing: list[events.Event] = [
         events.ClientOpened(2),
         events.ClientMessageReceived(2, late),
--- a/tests/test_manual_overrides.py
+++ b/tests/test_manual_overrides.py
@@ -1,4 +1,4 @@
-"""What operators set by hand: how two processes come to the same, and the file between them."""
+"""Manual overrides: how two processes reach the same state, and the file between them."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 @given(CALLS, CALLS, CALLS)
-def test_merging_is_the_same_in_any_order_and_however_often(a: Calls, b: Calls, c: Calls) -> None:
+def test_merging_is_commutative_and_idempotent(a: Calls, b: Calls, c: Calls) -> None:
     assert merged(a, b, c) == merged(c, merged(b, a), a, b)
 
 
 @given(CALLS, st.lists(st.tuples(ENGINES, st.booleans()), max_size=8))
-def test_the_last_call_counts_whatever_was_known_before(known: Calls, calls: list[tuple[str, bool]]) -> None:
+def test_the_last_call_holds_whatever_was_known_before(known: Calls, calls: list[tuple[str, bool]]) -> None:
     overrides = ManualOverrides()
     overrides.merge(known)
     disabled = set(overrides.disabled())
@@ -45,16 +45,16 @@
         assert overrides.set(engine, wanted)
         (disabled.add if wanted else disabled.discard)(engine)
         assert overrides.disabled() == disabled
-    assert merged(known, overrides.calls) == overrides.calls  # what was known before undoes none of it
+    assert merged(known, overrides.calls) == overrides.calls  # merging it again reverts none of the calls
 
 
-def test_two_calls_out_need_one_back() -> None:
+def test_an_engine_disabled_twice_is_enabled_by_one_call() -> None:
     overrides = ManualOverrides()
     assert all(overrides.set("s-1", disabled) for disabled in (True, True, False))
     assert not overrides.disabled()
 
 
-def test_what_is_remembered_is_bounded() -> None:
+def test_the_remembered_calls_are_bounded() -> None:
     overrides = ManualOverrides()
     for number in range(2 * MAX_DISABLED):
         assert overrides.set(f"s-{number}", True) is (number < MAX_DISABLED)
@@ -66,12 +66,12 @@
 
 
 @given(CALLS, st.text(max_size=8))
-def test_what_is_written_is_read_again(calls: Calls, name: str) -> None:
+def test_encoded_calls_decode_to_the_same(calls: Calls, name: str) -> None:
     assert decode(name, encode(name, calls)) == calls
 
 
 @given(CALLS, st.data())
-def test_what_is_torn_or_spoilt_is_not_read(calls: Calls, data: st.DataObject) -> None:
+def test_truncated_or_corrupt_bytes_are_rejected(calls: Calls, data: st.DataObject) -> None:
     whole = encode("n1", calls)
     at = data.draw(st.integers(0, len(whole) - 1))
     other = bytes([whole[at] ^ data.draw(st.integers(1, 255))])
@@ -80,12 +80,12 @@
             decode("n1", spoilt)
 
 
-def test_another_routers_calls_are_not_read() -> None:
+def test_the_calls_of_another_router_are_rejected() -> None:
     with pytest.raises(OverrideFileError, match="n2"):
         decode("n1", encode("n2", {"s-1": (0, True)}))
 
 
-def test_the_file_is_whole_or_not_there_and_told_once(tmp_path: Path) -> None:
+def test_the_file_is_replaced_atomically_and_reported_once(tmp_path: Path) -> None:
     old, new = OverrideFile(tmp_path, "n1"), OverrideFile(tmp_path, "n1")
     assert new.read() is None
     old.write({"s-1": (0, True)})
@@ -93,13 +93,13 @@
     new.write({"s-1": (1, False)})
     assert old.read() == {"s-1": (1, False)}
     assert [path.name for path in tmp_path.iterdir()] == [old.path.name]
-    old.path.write_bytes(old.path.read_bytes()[:-2])  # torn
+    old.path.write_bytes(old.path.read_bytes()[:-2])  # truncated
     with pytest.raises(OverrideFileError):
         new.read()
-    assert new.read() is None  # told of once
+    assert new.read() is None  # reported once
 
 
-def test_a_write_that_fails_leaves_the_file_as_it_was(tmp_path: Path) -> None:
+def test_a_failed_write_leaves_the_file_unchanged(tmp_path: Path) -> None:
     file = OverrideFile(tmp_path, "n1")
     file.write({"s-1": (0, True)})
     (tmp_path / f"{file.path.stem}.{os.getpid()}").mkdir()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,6 +1,6 @@
-"""Random orders of what operators, discovery, engines and clients do to the router, against a model.
+"""Random sequences of what operators, discovery, engines and clients do to the router, against a model.
 
-The model is an oracle of the rules by itself: it knows clients, attempts, windows, keys and the list as told.
+The model checks the rules independently: it tracks clients, attempts, retry windows, keys and engines.
 """
 
 from __future__ import annotations
@@ -42,26 +42,26 @@
 )
 
 
-class Operating(RuleBasedStateMachine):
-    """The model keeps what is open, what is out and what may not be sent to."""
+class RouterOperation(RuleBasedStateMachine):
+    """The model tracks open requests, attempts in flight, and engines that must get nothing."""
 
     @initialize(settings=st.sampled_from(VARIANTS))
     def begin(self, settings: api.Settings) -> None:
         self.now, self.number, self.wake = 100.0, 0, float("inf")
-        self.out_by_hand: set[str] = set()
+        self.disabled: set[str] = set()
         self.listed = dict.fromkeys(ENGINES, api.EngineState.UP)
-        self.clients: dict[int, dict[int, str]] = {}  # open requests, by connection that is not ended
+        self.clients: dict[int, dict[int, str]] = {}  # open requests, by open connection
         self.calls: dict[str, messages.Call] = {}
         self.links: dict[int, str] = {}
-        self.up: set[int] = set()
-        self.out: dict[str, int] = {}  # link by request
-        self.sent: dict[str, float] = {}  # the latest attempt of each
-        self.first_sent: dict[str, list[str]] = {}  # by key, and as they were taken
-        self.taken: dict[str, list[str]] = {}
-        self.began: dict[str, tuple[float, str]] = {}  # first attempt that may have run: when, and where
-        self.left: dict[str, float] = {}  # requests whose clients have gone, or took them back
-        self.kept: dict[str, api.QueryClass] = {}  # each request's class as it was when it came
-        self.serves = True
+        self.connected_links: set[int] = set()
+        self.in_flight: dict[str, int] = {}  # the link, by request
+        self.last_started: dict[str, float] = {}  # of the latest attempt, by request
+        self.first_started: dict[str, list[str]] = {}  # by key, in order
+        self.accepted: dict[str, list[str]] = {}
+        self.first_attempts: dict[str, tuple[float, str]] = {}  # that may have run: when, and where
+        self.abandoned_at: dict[str, float] = {}  # requests whose clients disconnected or cancelled
+        self.query_classes: dict[str, api.QueryClass] = {}  # of each request, as it was on arrival
+        self.serving = True
         self.exited = self.stopped = False
         self.admin_results: list[bool] = []
         self.settings = settings
@@ -91,7 +91,7 @@
             match effect:
                 case events.OpenLink(link, address):
                     self.links[link] = ENGINES[address[1] - 9000]
-                    assert self.may_serve(self.links[link])
+                    assert self.is_available(self.links[link])
                 case events.Write(link, commands):
                     for command in commands:
                         self.written(link, command)
@@ -112,53 +112,57 @@
                 case events.LogLine(text):
                     assert "Traceback" not in text and "router.request.overdue" not in text
 
-    def may_serve(self, engine: str) -> bool:
-        return engine not in self.out_by_hand and self.listed[engine] is api.EngineState.UP
+    def is_available(self, engine: str) -> bool:
+        return engine not in self.disabled and self.listed[engine] is api.EngineState.UP
 
     def written(self, link: int, command: messages.ToEngine) -> None:
         engine = self.links[link]
         match command:
             case messages.Run(txn):
-                assert self.may_serve(engine), f"sent to {engine}"
-                assert txn not in self.out, "two attempts at once"
-                assert self.now <= self.left.get(txn, self.now) + 0.1, "sent on for a client that has gone"
-                if txn in self.began:
-                    at, where = self.began[txn]
-                    cls = self.kept[txn]
+                assert self.is_available(engine), f"sent to {engine}"
+                assert txn not in self.in_flight, "two attempts at once"
+                assert (
+                    self.now <= self.abandoned_at.get(txn, self.now) + 0.1
+                ), "forwarded for a client that disconnected"
+                if txn in self.first_attempts:
+                    at, where = self.first_attempts[txn]
+                    cls = self.query_classes[txn]
                     assert (
                         cls.idempotency is not api.Idempotency.NON_IDEMPOTENT
-                    ), "an unsafe one is sent again"
+                    ), "a non-idempotent request is retried"
                     if cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY:
-                        assert self.now < at + cls.retry_window, "sent again past its window"
-                        assert cls.scope is api.Scope.ALL or engine == where, "sent again to another cell"
-                self.began.setdefault(txn, (self.now, engine))
+                        assert self.now < at + cls.retry_window, "retried past its window"
+                        assert cls.scope is api.Scope.ALL or engine == where, "retried in another cell"
+                self.first_attempts.setdefault(txn, (self.now, engine))
                 key = self.calls[txn].key
                 if key is not None:
-                    assert not any(self.calls[other].key == key for other in self.out), "two of a key at once"
-                    sent = self.first_sent.setdefault(key, [])
+                    assert not any(
+                        self.calls[other].key == key for other in self.in_flight
+                    ), "two requests of a key at once"
+                    sent = self.first_started.setdefault(key, [])
                     if txn not in sent:
                         sent.append(txn)
-                self.out[txn], self.sent[txn] = link, self.now
+                self.in_flight[txn], self.last_started[txn] = link, self.now
             case messages.Stop(txn) | messages.End(txn):
-                self.out.pop(txn, None)
+                self.in_flight.pop(txn, None)
             case messages.Hello():
-                assert self.may_serve(engine), f"{engine} was asked"
+                assert self.is_available(engine), f"{engine} was health checked"
 
     def lost(self, link: int) -> None:
         self.links.pop(link, None)
-        self.up.discard(link)
-        self.out = {txn: at for txn, at in self.out.items() if at != link}
+        self.connected_links.discard(link)
+        self.in_flight = {txn: at for txn, at in self.in_flight.items() if at != link}
 
     def answered(self, conn: int, message: messages.ToClient) -> None:
         if isinstance(message, messages.Pong):
-            assert message.serving is (self.serves and not self.stopped)
+            assert message.serving is (self.serving and not self.stopped)
             return
-        assert message.message_id in self.clients[conn], "an answer that nobody is owed"
+        assert message.message_id in self.clients[conn], "an answer that nobody waits for"
         txn = self.clients[conn].pop(message.message_id)
         if isinstance(message, messages.Served):
-            self.out.pop(txn, None)
+            self.in_flight.pop(txn, None)
 
-    # --- what happens
+    # --- rules
 
     @rule(step=st.sampled_from([0.006, 0.05, 0.4, 1.0, 3.0]))
     def wait(self, step: float) -> None:
@@ -185,58 +189,58 @@
             self.do(events.ClientClosed(conn), events.ClientOpened(conn))
         self.number += 1
         txn = f"{self.number:016x}"
-        kept = key if cls == "load" else None
-        call = messages.Call(self.number, txn, cls, 2.0, b"x", token=txn, key=kept, work=0.1)
+        ordering_key = key if cls == "load" else None
+        call = messages.Call(self.number, txn, cls, 2.0, b"x", token=txn, key=ordering_key, work=0.1)
         for known in self.settings.classes:
             if known.name == cls:
-                self.kept[txn] = known
+                self.query_classes[txn] = known
         self.clients[conn][self.number] = txn
         self.calls[txn] = call
-        if kept is not None:
-            self.taken.setdefault(kept, []).append(txn)
+        if ordering_key is not None:
+            self.accepted.setdefault(ordering_key, []).append(txn)
         self.do(events.ClientMessageReceived(conn, call))
-        if quick:  # it is on its way at once, where there is an engine for it
+        if quick:  # forwarded at once, if an engine is available
             self.time_passes(0.006)
-            self.all_up()
+            self.all_connect()
 
-    def all_up(self) -> None:
-        for link in sorted(self.links.keys() - self.up):
-            self.up.add(link)
+    def all_connect(self) -> None:
+        for link in sorted(self.links.keys() - self.connected_links):
+            self.connected_links.add(link)
             self.do(events.LinkOpened(link))
 
     @rule(conn=st.integers(1, 3))
-    def front_asks(self, conn: int) -> None:
+    def client_checks_health(self, conn: int) -> None:
         if conn in self.clients:
             self.do(events.ClientMessageReceived(conn, messages.Ping(0)))
 
     @rule(data=st.data())
-    def connected(self, data: st.DataObject) -> None:
-        if waiting := sorted(self.links.keys() - self.up):
+    def engine_connects(self, data: st.DataObject) -> None:
+        if waiting := sorted(self.links.keys() - self.connected_links):
             link = data.draw(st.sampled_from(waiting))
-            self.up.add(link)
+            self.connected_links.add(link)
             self.do(events.LinkOpened(link))
 
     @rule(conn=st.integers(1, 3), crossing=st.booleans(), data=st.data())
     def client_leaves(self, conn: int, crossing: bool, data: st.DataObject) -> None:
-        """It closes; a connection to an engine may come up in the same turn."""
+        """It disconnects; a connection to an engine may open in the same step."""
         if conn in self.clients:
             for txn in self.clients.pop(conn).values():
-                self.left[txn] = self.now
-            self.do(*(self.coming_up(data) if crossing else []), events.ClientClosed(conn))
+                self.abandoned_at[txn] = self.now
+            self.do(*(self.next_connection(data) if crossing else []), events.ClientClosed(conn))
 
     @rule(conn=st.integers(1, 3), crossing=st.booleans(), data=st.data())
-    def client_takes_back(self, conn: int, crossing: bool, data: st.DataObject) -> None:
+    def client_cancels(self, conn: int, crossing: bool, data: st.DataObject) -> None:
         if self.clients.get(conn):
             number = data.draw(st.sampled_from(sorted(self.clients[conn])))
-            self.left[self.clients[conn].pop(number)] = self.now
+            self.abandoned_at[self.clients[conn].pop(number)] = self.now
             back = events.ClientMessageReceived(conn, messages.CancelRequest(number))
-            self.do(*(self.coming_up(data) if crossing else []), back)
+            self.do(*(self.next_connection(data) if crossing else []), back)
 
-    def coming_up(self, data: st.DataObject) -> list[events.Event]:
-        if not (waiting := sorted(self.links.keys() - self.up)):
+    def next_connection(self, data: st.DataObject) -> list[events.Event]:
+        if not (waiting := sorted(self.links.keys() - self.connected_links)):
             return []
         link = data.draw(st.sampled_from(waiting))
-        self.up.add(link)
+        self.connected_links.add(link)
         return [events.LinkOpened(link)]
 
     @rule(
@@ -254,18 +258,18 @@
         quick=st.sampled_from([True, True, False]),
     )
     def engine_answers(self, data: st.DataObject, word: messages.AnswerKind, quick: bool) -> None:
-        if self.out:
-            txn = data.draw(st.sampled_from(sorted(self.out)))
-            link = self.out.pop(txn)
+        if self.in_flight:
+            txn = data.draw(st.sampled_from(sorted(self.in_flight)))
+            link = self.in_flight.pop(txn)
             if (
                 word in (messages.AnswerKind.FULL, messages.AnswerKind.STALE)
-                and self.began[txn][0] == self.sent[txn]
+                and self.first_attempts[txn][0] == self.last_started[txn]
             ):
-                del self.began[txn]  # the only attempt that might have run did not
+                del self.first_attempts[txn]  # the only attempt that might have run did not run
             self.do(events.LinkAnswerReceived(link, messages.EngineAnswer(txn, word, b"row\n")))
-            if quick:  # another attempt leaves at once
+            if quick:  # a retry is forwarded at once
                 self.time_passes(0.006)
-                self.all_up()
+                self.all_connect()
 
     @rule(data=st.data())
     def engine_leaves(self, data: st.DataObject) -> None:
@@ -276,18 +280,22 @@
 
     @rule(
         engine=st.sampled_from([*ENGINES, "nobody"]),
-        out=st.sampled_from([False, False, True]),
+        disable=st.sampled_from([False, False, True]),
         upgrade=st.booleans(),
     )
-    def by_hand(self, engine: str, out: bool, upgrade: bool) -> None:
+    def engine_is_overridden(self, engine: str, disable: bool, upgrade: bool) -> None:
         self.admin_results.clear()
         gone = engine != "nobody" and self.listed[engine] is api.EngineState.GONE
-        if engine != "nobody" and not (out and gone and not upgrade):  # nobody has one that has gone
-            (self.out_by_hand.add if out else self.out_by_hand.discard)(engine)
-        call: messages.AdminCall = messages.MaintenanceOn(engine) if out else messages.MaintenanceOff(engine)
-        if upgrade and engine != "nobody":  # the call came to the other process
+        if engine != "nobody" and not (
+            disable and gone and not upgrade
+        ):  # an engine that has gone is unknown
+            (self.disabled.add if disable else self.disabled.discard)(engine)
+        call: messages.AdminCall = (
+            messages.MaintenanceOn(engine) if disable else messages.MaintenanceOff(engine)
+        )
+        if upgrade and engine != "nobody":  # the call was made to the other process
             number = 1 + max((number for number, _ in self.router._overrides.calls.values()), default=0)
-            self.do(events.OverridesRead({engine: (number, out)}))
+            self.do(events.OverridesRead({engine: (number, disable)}))
         else:
             self.do(events.AdminOpened(1), events.AdminCallReceived(1, call))
             if engine == "nobody" or not gone:
@@ -298,8 +306,8 @@
         whole=st.booleans(),
         state=st.sampled_from([*[api.EngineState.UP] * 5, *api.EngineState]),
     )
-    def list_comes(self, engine: str, state: api.EngineState, whole: bool) -> None:
-        if engine in self.out_by_hand and state is api.EngineState.GONE:
+    def engine_list_changes(self, engine: str, state: api.EngineState, whole: bool) -> None:
+        if engine in self.disabled and state is api.EngineState.GONE:
             return
         self.seq += 1
         self.listed[engine] = state
@@ -320,13 +328,13 @@
         self.settings = settings
         self.do(events.Reloaded(("127.0.0.1", 1), settings, LIMITS))
 
-    @rule(away=st.sampled_from([False, False, True]))
-    def drain(self, away: bool) -> None:
+    @rule(standby_on=st.sampled_from([False, False, True]))
+    def standby(self, standby_on: bool) -> None:
         if not self.stopped:
-            self.serves = not away
+            self.serving = not standby_on
         self.do(
             events.AdminOpened(2),
-            events.AdminCallReceived(2, messages.Standby() if away else messages.Active()),
+            events.AdminCallReceived(2, messages.Standby() if standby_on else messages.Active()),
         )
 
     @rule()
@@ -335,12 +343,12 @@
             self.stopped = True
             self.do(events.StopRequested())
 
-    # --- what always holds
+    # --- invariants
 
     @invariant()
     def keys_keep_their_order(self) -> None:
-        for key, sent in getattr(self, "first_sent", {}).items():
-            assert sent == [txn for txn in self.taken[key] if txn in sent]
+        for key, sent in getattr(self, "first_started", {}).items():
+            assert sent == [txn for txn in self.accepted[key] if txn in sent]
 
     def teardown(self) -> None:
         if not hasattr(self, "router"):
@@ -350,12 +358,12 @@
         assert not self.stopped or self.exited
 
 
-TestOperating: Any = Operating.TestCase
-TestOperating.settings = hypothesis_settings(max_examples=300, stateful_step_count=60)
+TestRouterOperation: Any = RouterOperation.TestCase
+TestRouterOperation.settings = hypothesis_settings(max_examples=300, stateful_step_count=60)
 
 
 class Silent:
-    """In the module's place: decides nothing."""
+    """Replaces the decision module: decides nothing."""
 
     def __init__(self, settings: api.Settings, now: float, seed: int) -> None:
         pass
@@ -364,9 +372,9 @@
         return []
 
 
-@pytest.mark.parametrize(("shared", "forced"), [(False, 3.7), (True, 5.7)])
-def test_a_router_that_ends_answers_all_before_it_is_forced_to(shared: bool, forced: float) -> None:
-    """Deadlines are 20 s here, of which 3 s count, or 5 s where another process takes over."""
+@pytest.mark.parametrize(("shared", "killed_after"), [(False, 3.7), (True, 5.7)])
+def test_a_router_that_shuts_down_answers_all_before_it_is_killed(shared: bool, killed_after: float) -> None:
+    """Deadlines are 20 s here, limited to 3 s, or to 5 s where another process takes over."""
     options = RouterOptions(
         BASE,
         LIMITS,
@@ -377,19 +385,21 @@
     )
     router = Router(options, now=0.0, decide=Silent)
     router.start(0.0)
-    asked = messages.Call(1, "a" * 16, "load", 20.0, b"x", token="t")
-    harmless = replace(asked, message_id=2, txn="c" * 16, query_class="short")
-    router.step(0.3, [events.ClientOpened(1), events.ClientMessageReceived(1, asked)])
+    load_call = messages.Call(1, "a" * 16, "load", 20.0, b"x", token="t")
+    idempotent_call = replace(load_call, message_id=2, txn="c" * 16, query_class="short")
+    router.step(0.3, [events.ClientOpened(1), events.ClientMessageReceived(1, load_call)])
     assert (events.StopListening() in router.step(0.4, [events.StopRequested()])) is shared
-    router.step(0.4 + forced - 0.5, [events.ClientMessageReceived(1, harmless)])
+    router.step(0.4 + killed_after - 0.5, [events.ClientMessageReceived(1, idempotent_call)])
     late = router.step(
-        0.4 + forced - 0.3, [events.ClientMessageReceived(1, replace(asked, message_id=3, txn="b" * 16))]
+        0.4 + killed_after - 0.3,
+        [events.ClientMessageReceived(1, replace(load_call, message_id=3, txn="b" * 16))],
     )
     assert events.Answer(1, messages.Rejected(3, 1.0)) in late
     assert events.Answer(1, messages.Failed(1)) not in late
-    ended = router.step(0.4 + forced - 0.1, [events.Woken()])
+    ended = router.step(0.4 + killed_after - 0.1, [events.Woken()])
     answers = [effect for effect in ended if isinstance(effect, events.Answer)]
-    # What may be repeated is refused, so that its client may ask elsewhere.
+    # An idempotent request is rejected, so that its client may retry elsewhere.
     assert answers == [events.Answer(1, messages.Failed(1)), events.Answer(1, messages.Rejected(2, 1.0))]
-    looked = router.step(0.4 + forced - 0.1, [events.Woken()])  # at what has come meanwhile, in the same turn
-    assert events.HalfCloseClient(1) in looked and (ended + looked).count(events.Exit()) == 1
+    # The sockets are read once more, in the same turn.
+    after_read = router.step(0.4 + killed_after - 0.1, [events.Woken()])
+    assert events.HalfCloseClient(1) in after_read and (ended + after_read).count(events.Exit()) == 1
