--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""How connections, requests and the program end, on real sockets: what crosses an end is forced to."""
+"""How connections, requests and the program end, on real sockets, with events forced to cross."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def served(stage: Stage, client: socket.socket, number: int = 1) -> socket.socket:
-    """A client is served; gives the connection to the engine that did it."""
+    """Serve a client's request. Returns the connection to the engine that ran it."""
     client.sendall(ask(number))
     engine = stage.engine()
     stage.run()
@@ -39,26 +39,26 @@
     return answer(number, PAGE, fields="count=8") + rest
 
 
-# --- a client that has gone
+# --- clients that disconnect
 
 
-def test_a_client_that_left_while_its_connection_came_up_is_not_sent_on(stage: Stage) -> None:
+def test_the_request_of_a_client_that_left_while_its_connection_opened_is_not_forwarded(stage: Stage) -> None:
     client = stage.client()
     client.sendall(ask(1))
-    go = stage.dialling()
+    let_dial = stage.dialling()
     client.close()
-    go()
+    let_dial()
     engine = stage.engine()
     stage.run(0.2)
     assert b"REQ" not in waiting(engine)
 
 
-def test_a_request_taken_back_while_its_connection_came_up_is_not_sent_on(stage: Stage) -> None:
+def test_a_request_cancelled_while_its_connection_opened_is_not_forwarded(stage: Stage) -> None:
     client = stage.client()
     client.sendall(ask(1))
-    go = stage.dialling()
+    let_dial = stage.dialling()
     client.sendall(give_up(1))
-    go()
+    let_dial()
     engine = stage.engine()
     stage.run(0.2)
     assert b"REQ" not in waiting(engine)
@@ -71,8 +71,8 @@
     made.end()
 
 
-def reads_nothing(stage: Stage) -> tuple[socket.socket, socket.socket]:
-    """A client that has answers of some 400 KB to read, reads none, and has one more request open."""
+def client_that_does_not_read(stage: Stage) -> tuple[socket.socket, socket.socket]:
+    """A client that reads none of its answers, some 400 KB, and has one more request open."""
     client = stage.client(unread=2048)
     client.sendall(b"".join(map(ask, range(1, 11))))
     engine = stage.engine()
@@ -86,19 +86,19 @@
     return client, engine
 
 
-def test_a_client_that_does_not_read_is_heard_when_it_takes_a_request_back(one_engine: Stage) -> None:
+def test_a_cancellation_of_a_client_that_does_not_read_is_received(one_engine: Stage) -> None:
     stage = one_engine
-    client, engine = reads_nothing(stage)
+    client, engine = client_that_does_not_read(stage)
     client.sendall(give_up(10))
     stage.run(0.05)
     assert b"STOP\r\n$16\r\n000000000000000a" in waiting(engine)
 
 
-@pytest.mark.parametrize("how", ["shutdown", "close"])
-def test_a_client_that_does_not_read_is_seen_to_leave(one_engine: Stage, how: str) -> None:
+@pytest.mark.parametrize("end", ["shutdown", "close"])
+def test_the_disconnect_of_a_client_that_does_not_read_is_noticed(one_engine: Stage, end: str) -> None:
     stage = one_engine
-    client, engine = reads_nothing(stage)
-    if how == "close":
+    client, engine = client_that_does_not_read(stage)
+    if end == "close":
         client.close()
     else:
         client.shutdown(socket.SHUT_WR)
@@ -106,17 +106,17 @@
     assert b"STOP\r\n$16\r\n000000000000000a" in waiting(engine)
 
 
-# --- connections that the router ends
+# --- connections that the router closes
 
 
-def test_a_client_that_is_closed_on_reads_what_it_was_answered_before(stage: Stage) -> None:
+def test_a_client_that_is_disconnected_receives_its_earlier_answers(stage: Stage) -> None:
     client = stage.client(unread=2048)
     client.sendall(ask(1))
     engine = stage.engine()
     stage.run()
     engine.sendall(long_answer(1))
     stage.run()
-    client.sendall(b"\xc1" + b"x" * 1000)  # what cannot be read, and more that nobody will
+    client.sendall(b"\xc1" + b"x" * 1000)  # malformed, and more that is not read
     stage.run()
     client.sendall(b"x" * 1000)
     data = b""
@@ -127,29 +127,29 @@
     assert ended(client)
 
 
-def test_one_that_is_closed_on_and_goes_on_sending_is_cut_and_so_is_one_that_never_ends(stage: Stage) -> None:
-    sends, stays = stage.client(), stage.client()
-    for client in (sends, stays):
+def test_a_disconnected_client_that_keeps_sending_or_never_closes_is_aborted(stage: Stage) -> None:
+    sending, staying = stage.client(), stage.client()
+    for client in (sending, staying):
         client.sendall(b"\xc1")
     stage.run(0.02)
     assert stage.runtime.closing and not stage.runtime.clients
     with pytest.raises(ConnectionError):
         for _ in range(200):
-            sends.sendall(b"x" * 65536)
+            sending.sendall(b"x" * 65536)
             stage.run(0.005)
     assert len(stage.runtime.closing) == 1
     stage.run(0.6)
     assert not stage.runtime.closing
 
 
-def test_those_closed_on_and_not_ended_are_few(stage: Stage) -> None:
+def test_the_number_of_closing_connections_is_bounded(stage: Stage) -> None:
     for _ in range(60):
         stage.client().sendall(b"\xc1")
     stage.run(0.1)
     assert len(stage.runtime.closing) == 16 and not stage.runtime.clients
 
 
-def test_a_caller_that_says_more_than_a_call_reads_its_answer() -> None:
+def test_an_operator_that_sends_more_than_a_call_receives_its_answer() -> None:
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         admin = free.getsockname()
@@ -165,7 +165,7 @@
     stage.end()
 
 
-def test_small_writes_are_held_back_on_no_connection(stage: Stage) -> None:
+def test_no_connection_delays_small_writes(stage: Stage) -> None:
     client = stage.client()
     served(stage, client)
     log = stage.runtime._change_log
@@ -179,10 +179,10 @@
 # --- the end of the program
 
 
-def test_a_request_that_is_there_when_the_router_is_told_to_end_is_served(stage: Stage) -> None:
+def test_a_request_received_when_the_router_is_stopped_is_served(stage: Stage) -> None:
     client = stage.client()
     engine = served(stage, client)
-    client.sendall(ask(2))  # on a connection that rests, and not read yet
+    client.sendall(ask(2))  # on an idle connection, and not read yet
     stage.terminate()
     stage.run()
     assert b"REQ" in waiting(engine)
@@ -191,7 +191,7 @@
     assert answers_in(waiting(client))[0][1:3] == [2, None] and ended(client)
 
 
-def test_a_request_behind_an_answer_is_served_before_a_router_that_ends_closes(stage: Stage) -> None:
+def test_a_request_that_follows_an_answer_is_served_before_a_stopping_router_closes(stage: Stage) -> None:
     client = stage.client()
     engine = served(stage, client)
     client.sendall(ask(2))
@@ -199,7 +199,7 @@
     stage.terminate()
     stage.run()
     engine.sendall(answer(2))
-    client.sendall(ask(3))  # both are there in one turn: after the answer nothing is open
+    client.sendall(ask(3))  # both arrive in one turn: after the answer no request is open
     stage.run()
     assert waiting(engine).count(b"REQ") == 2
     engine.sendall(answer(3))
@@ -207,23 +207,23 @@
     assert [message[1] for message in answers_in(waiting(client))] == [2, 3] and ended(client)
 
 
-def test_what_comes_behind_the_end_of_a_connection_is_not_sent_on(stage: Stage) -> None:
+def test_a_request_received_after_the_half_close_is_not_forwarded(stage: Stage) -> None:
     client = stage.client()
     engine = served(stage, client)
     stage.terminate()
     stage.run()
     client.sendall(ask(2))
     stage.run()
-    assert b"REQ" not in waiting(engine) and ended(client)  # no reset: its client may ask again elsewhere
+    assert b"REQ" not in waiting(engine) and ended(client)  # no reset: its client may retry elsewhere
 
 
-def test_the_last_answer_is_read_whole_though_bytes_came_behind_the_end(stage: Stage) -> None:
+def test_the_last_answer_is_complete_though_bytes_arrive_after_the_half_close(stage: Stage) -> None:
     client = stage.client(unread=2048)
     client.sendall(ask(1, "report", limit="9000"))
     engine = stage.engine()
     stage.run()
     stage.terminate()
-    stage.run(0.8)  # it ends with this answer
+    stage.run(0.8)  # it exits after this answer
     stage.narrow()
     engine.sendall(long_answer(1))
     stage.run(0.01)
@@ -236,14 +236,14 @@
     assert answers_in(data)[0][1:3] == [1, None] and len(data) > 48_000
 
 
-def unread_at_the_end(stage: Stage) -> socket.socket:
-    """The program ends with an answer of 48 KB of which its client has read nothing yet."""
+def exiting_with_unread_answer(stage: Stage) -> socket.socket:
+    """The program exits while its client has read nothing yet of an answer of 48 KB."""
     client = stage.client(unread=2048)
     client.sendall(ask(1, "report", limit="9000"))
     engine = stage.engine()
     stage.run()
     stage.terminate()
-    stage.run(0.8)  # it ends with this answer
+    stage.run(0.8)  # it exits after this answer
     stage.narrow()
     engine.sendall(long_answer(1))
     stage.run(0.05)
@@ -251,8 +251,10 @@
     return client
 
 
-def test_a_client_that_reads_late_gets_the_last_answer_whole_before_the_program_ends(stage: Stage) -> None:
-    client = unread_at_the_end(stage)
+def test_a_client_that_reads_late_gets_the_complete_last_answer_before_the_program_exits(
+    stage: Stage,
+) -> None:
+    client = exiting_with_unread_answer(stage)
     stage.run(1.2)  # longer than any other connection may linger
     data = b""
     while not stage.serving.done():
@@ -262,30 +264,30 @@
     assert answers_in(data)[0][1:3] == [1, None] and len(data) > 48_000
 
 
-def test_a_client_that_never_reads_holds_the_end_of_the_program_for_two_seconds_at_most(stage: Stage) -> None:
-    unread_at_the_end(stage)
-    began = time.monotonic()
+def test_a_client_that_never_reads_delays_the_exit_by_two_seconds_at_most(stage: Stage) -> None:
+    exiting_with_unread_answer(stage)
+    started_at = time.monotonic()
     while not stage.serving.done():
         stage.run(0.01)
-    assert 1.5 < time.monotonic() - began < 2.5
+    assert 1.5 < time.monotonic() - started_at < 2.5
 
 
-def test_a_client_that_has_read_all_and_stays_holds_the_end_of_the_program_no_longer(stage: Stage) -> None:
-    client = unread_at_the_end(stage)
-    began = time.monotonic()
+def test_a_client_that_has_read_all_and_stays_connected_does_not_delay_the_exit(stage: Stage) -> None:
+    client = exiting_with_unread_answer(stage)
+    started_at = time.monotonic()
     while not stage.serving.done():
         waiting(client)
         stage.run(0.01)
-    assert time.monotonic() - began < 1.0
+    assert time.monotonic() - started_at < 1.0
 
 
-# --- a process that stood still
+# --- a process that was suspended
 
 
-def test_a_router_that_stood_still_reads_the_list_before_it_sends(stage: Stage) -> None:
+def test_a_router_that_was_suspended_reads_the_engine_list_before_it_forwards(stage: Stage) -> None:
     client = stage.client()
     stage.run()
-    client.sendall(ask(1))  # comes first, and is read first
+    client.sendall(ask(1))  # arrives first, and is read first
     time.sleep(0.01)
     stage.frame(2, stage.record(0, 1), stage.record(1, 1))
     stage.run(0.3)
@@ -296,24 +298,24 @@
     assert b"REQ" in waiting(engine)
 
 
-def test_a_connection_that_came_up_while_the_router_stood_still_is_used(stage: Stage) -> None:
+def test_a_connection_that_opened_while_the_router_was_suspended_is_used(stage: Stage) -> None:
     client = stage.client()
     client.sendall(ask(1))
-    go = stage.dialling()
-    go()
-    stage.loop.call_soon(time.sleep, 0.3)  # its time to come up has passed, and it is up
+    let_dial = stage.dialling()
+    let_dial()
+    stage.loop.call_soon(time.sleep, 0.3)  # its connect timeout has passed, and it is open
     engine = stage.engine()
     stage.run()
     assert b"REQ" in waiting(engine)
 
 
-def test_a_client_that_left_while_the_router_stood_still_costs_no_further_attempt(stage: Stage) -> None:
+def test_a_client_that_left_while_the_router_was_suspended_causes_no_retry(stage: Stage) -> None:
     client = stage.client()
     client.sendall(ask(1))
     engine = stage.engine()
     stage.run()
     waiting(engine)
-    engine.sendall(answer(1, b"", "error", "-"))  # would be tried again
+    engine.sendall(answer(1, b"", "error", "-"))  # would be retried
     time.sleep(0.01)
     client.close()
     stage.run(0.3)
@@ -322,11 +324,11 @@
         stage.engines[1].accept()
 
 
-def test_a_connection_that_is_asked_on_while_its_idle_time_ends_is_not_closed(stage: Stage) -> None:
+def test_a_connection_with_a_request_as_its_idle_timeout_ends_is_not_closed(stage: Stage) -> None:
     client = stage.client()
-    stage.run(1.5)  # it never asked: 2 s are all it has
+    stage.run(1.5)  # its first request is due within 2 s
     time.sleep(0.8)
-    client.sendall(ask(1))  # and here its first request is on time
+    client.sendall(ask(1))  # and is sent just in time
     engine = stage.engine()
     stage.run()
     engine.sendall(answer(1))
@@ -337,34 +339,34 @@
 # --- descriptors
 
 
-def test_idle_clients_may_fill_all_places_while_the_change_log_is_down() -> None:
+def test_idle_clients_may_reach_the_connection_limit_while_the_change_log_is_down() -> None:
     stage = Stage(**{"limits.sockets": 150})  # 52 of clients, 50 to engines
-    crowd = [stage.client() for _ in range(90)]
+    idle_clients = [stage.client() for _ in range(90)]
     stage.run(0.3)
     assert len(stage.runtime.clients) == stage.runtime.bounds.clients == 52
     stage.watch.close()
     stage.log.close()  # connections are refused from now on
     stage.run(0.3)
-    usual = stage.client()  # one that never asked makes room
-    usual.sendall(ask(1))
+    newcomer = stage.client()  # an idle connection without a request is closed for it
+    newcomer.sendall(ask(1))
     engine = stage.engine()
     stage.run()
     engine.sendall(answer(1))
     stage.run()
-    assert answers_in(waiting(usual))[0][1:3] == [1, None]
+    assert answers_in(waiting(newcomer))[0][1:3] == [1, None]
     assert not any(node.faults or node.ejected_at is not None for node in stage.nodes())
     dials = stage.runtime._router._change_log.dials
     stage.run(1.0)
-    assert stage.runtime._router._change_log.dials > dials  # the log is asked for all the same
-    assert all(ended(client) for client in crowd[:30])  # in order, and the oldest first
+    assert stage.runtime._router._change_log.dials > dials  # the log is dialled all the same
+    assert all(ended(client) for client in idle_clients[:30])  # in order, and the oldest first
     stage.end()
 
 
-def test_connections_that_wait_are_taken_before_a_full_router_stops_listening() -> None:
+def test_queued_connections_are_accepted_before_a_full_router_stops_listening() -> None:
     stage = Stage(**{"limits.sockets": 150})
-    crowd = [stage.client() for _ in range(52)]
+    idle_clients = [stage.client() for _ in range(52)]
     stage.run(0.3)
-    late = [stage.client() for _ in range(40)]  # in the machine's queue
+    late = [stage.client() for _ in range(40)]  # in the kernel's queue
     for number, client in enumerate(late, 1):
         client.sendall(ask(number))
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -374,8 +376,8 @@
         stage.run(0.45)
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    taken = [client for client in stage.runtime._router._clients.values() if client.has_requested]
-    assert len(taken) == 40 and sum(map(ended, crowd)) >= 40
+    requesting = [client for client in stage.runtime._router._clients.values() if client.has_requested]
+    assert len(requesting) == 40 and sum(map(ended, idle_clients)) >= 40
     with pytest.raises(ConnectionRefusedError):
         stage.client()
     stage.end()
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -22,7 +22,7 @@
 
 @RECORDINGS
 @pytest.mark.parametrize("cut", [1, 7])
-def test_it_does_not_matter_how_the_bytes_are_cut(path: Path, cut: int) -> None:
+def test_the_exchange_does_not_depend_on_how_bytes_are_split(path: Path, cut: int) -> None:
     assert play(path.read_text(), cut) == path.read_text()
 
 
@@ -41,7 +41,7 @@
 
 
 @given(st.permutations(range(1, 8)), st.sampled_from([0, 1000, 4099]))
-def test_a_result_of_48_000_bytes_is_whole_and_in_order_however_its_pages_come(
+def test_a_result_of_48_000_bytes_is_complete_and_in_order_however_its_pages_arrive(
     order: list[int], cut: int
 ) -> None:
     lines = [
@@ -66,13 +66,13 @@
         ("log", b"\0\0\0\x0a" + b"\0" * 7 + b"\x02\x02" + b"\0" * 9),
     ],
 )
-def test_what_is_too_long_to_be_right_ends_the_connection_it_came_on(who: str, data: bytes) -> None:
+def test_an_impossible_length_ends_its_connection(who: str, data: bytes) -> None:
     lines = [f"10 c1 > {asked(1)}", "11 L1 up", "11 log up", f"20 {who} > {to_text(data)}", "300 c1 wait"]
     ends = f" {who} eof" if who[0] == "c" else f" {who} hangup"
     assert any(line.endswith(ends) for line in play("\n".join(lines)).splitlines())
 
 
-def test_a_client_that_reads_none_of_its_answers_loses_its_connection() -> None:
+def test_a_client_that_reads_none_of_its_answers_is_disconnected() -> None:
     lines = [f"10 c1 > {asked(1)}", "11 L1 up", "12 c1 full"]
     for number in range(1, 50):
         rest = "".join(answer_line(number, "batch", f"pos={pos}", page(pos)) for pos in range(1, 8))
@@ -86,7 +86,7 @@
     assert any(line.endswith(" c1 hangup") for line in played[played.index(answers[-1]) :][:3])
 
 
-def test_results_that_are_not_whole_are_bounded_together() -> None:
+def test_the_total_size_of_incomplete_results_is_bounded() -> None:
     lines = [
         'set module "stubborn"',
         "set limits.memory_mb 24",
@@ -111,7 +111,7 @@
 @pytest.mark.parametrize(
     "sent", [HUNDREDS, HUNDREDS + TAKEN_BACK, NO_FIGURE * 8, to_text(b"\x94\x00\xff\xa5probe\x91\x80")]
 )
-def test_a_client_that_sends_too_much_is_closed_on_and_nothing_of_it_reaches_an_engine(sent: str) -> None:
+def test_a_client_that_sends_too_much_is_disconnected_and_nothing_reaches_an_engine(sent: str) -> None:
     played = play(f"10 c1 > {sent}\n600 c1 wait").splitlines()
     assert "10 c1 eof" in played and "510 c1 hangup" in played
     assert not any(" L1 " in line for line in played)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -156,7 +156,7 @@
     assert opened >= 2 and crossed == opened - 1  # each process ends the connection once
 
 
-def test_an_engine_stays_out_through_an_upgrade_whichever_endpoint_was_called(fleet: Fleet) -> None:
+def test_an_engine_stays_disabled_through_an_upgrade_whichever_endpoint_was_called(fleet: Fleet) -> None:
     (fleet.shared / "grebeproxy-n1.hands").write_bytes(b"half a file")
     old, first = fleet.start()
     assert call(first, "maint-on s-00000001").startswith("ACK")
