--- a/grebeproxy/lab/control/converged.py
+++ b/grebeproxy/lab/control/converged.py
@@ -20,8 +20,8 @@
     """
     own_name = core.config.member.name
     core.members.facts.update((fact.name, fact) for fact in facts if fact.name != own_name)
-    core.members._stale = True  # the view is computed anew
-    core.leases._votes_from = now
+    core.members.table.changed = True  # the view is computed anew
+    core.leases.voter.votes_from = now
 
 
 def publish_keys(stores: list[Store], key_bytes: int, now: float, rng: Random) -> None:
--- a/grebeproxy/lab/control/membership.py
+++ b/grebeproxy/lab/control/membership.py
@@ -88,7 +88,7 @@
 def _restart_values(fleet: Fleet, restart: Restart, quiet: Usage) -> dict[str, float]:
     """What a restart costs the router itself, and each other one beyond what it uses when quiet."""
     joiner = fleet.processes[restart.router]
-    fleet.run_until(lambda: not len(joiner.node.members._gossip_queue), MAX_SECONDS)
+    fleet.run_until(lambda: not len(joiner.node.members.gossip_queue), MAX_SECONDS)
     seconds = fleet.now - restart.started_at
     own = joiner.account.total(KINDS)
     others = _others(fleet, restart.router)
