--- a/grebeproxy/lab/capacity/measure/engine_list.py
+++ b/grebeproxy/lab/capacity/measure/engine_list.py
@@ -13,7 +13,7 @@
 from grebeproxy.net.changelog import CHANGES, FULL, HEAD, Decoder
 from grebeproxy.net.events import ChangeLogOpened, ChangeLogReceived
 from grebeproxy.net.messages import ChangeLogUpdate
-from grebeproxy.net.router import Router
+from grebeproxy.net.router import Router, RouterOptions
 from grebeproxy.policy import interface as api
 from grebeproxy.settings import wire_limits_from
 
@@ -92,14 +92,14 @@
 
 def _router(seed: int) -> Router:
     """A router whose connection to the change log is open."""
-    router = Router(
+    options = RouterOptions(
         settings(ROUTERS),
         wire_limits_from(profile(ROUTERS)),
         changelog=("127.0.0.1", PORT),
         bounds=admission.bounds(MAX_SOCKETS, MEMORY_MB),
         seed=seed,
-        now=START_TIME,
     )
+    router = Router(options, now=START_TIME)
     router.start(START_TIME)
     router.step(START_TIME, [ChangeLogOpened(1)])
     return router
--- a/grebeproxy/lab/scale/changelog_server.py
+++ b/grebeproxy/lab/scale/changelog_server.py
@@ -13,7 +13,7 @@
 from grebeproxy.net import changelog, follower
 
 HELLO = struct.Struct(">Q")  # the last event that the router has, 0 for none
-HEARTBEAT_S = 0.9 * follower.FRAMES  # routers expect a frame each second
+HEARTBEAT_S = 0.9 * follower.FRAME_INTERVAL  # routers expect a frame each second
 BACKLOG = 4096
 FIRST_LIST_SEQ = 1
 
--- a/grebeproxy/net/msgpack_rpc.py
+++ b/grebeproxy/net/msgpack_rpc.py
@@ -14,7 +14,7 @@
     Call,
     Failed,
     FromClient,
-    GiveUp,
+    CancelRequest,
     Invalid,
     Ping,
     Pong,
@@ -91,7 +91,7 @@
             case [int(), int(msg), *_] if not 0 <= msg <= MAX_ID:
                 raise MalformedMessageError("a message id that cannot be")
             case [int(kind), str("giveUp"), [int(msg)]] if kind == NOTIFICATION:
-                return GiveUp(msg)
+                return CancelRequest(msg)
             case [int(kind), int(msg), str("probe"), list()] if kind == REQUEST:
                 return Ping(msg)
             case [int(kind), int(msg), str(cls), [dict(fields), bytes(body)]] if kind == REQUEST:
@@ -107,8 +107,8 @@
             return Call(
                 msg,
                 txn=_required(fields, "txn", TXN_ID.fullmatch),
-                cls=self._class(cls),
-                limit=_number(fields, "limit") / MS_PER_SECOND,
+                query_class=self._class(cls),
+                timeout=_number(fields, "limit") / MS_PER_SECOND,
                 body=body,
                 tenant=self._tenant(fields),
                 is_client_retry=_optional(fields, "second", _accept_any) == "1",
@@ -178,13 +178,13 @@
         case Served():
             result = [b"".join(answer.parts), {}]
         case Pong():
-            result = [answer.serves, {}]
+            result = [answer.serving, {}]
         case Rejected():
-            later = answer.later
+            later = answer.retry_after
             hint = {} if later is None else {"later": str(math.ceil(later * MS_PER_SECOND))}
             error = ["TryLater", hint]
         case Failed():
             field = answer.field
             error = ["Aborted", {}] if field is None else ["BadField", {"field": field}]
-    packed: bytes = msgpack.packb([RESPONSE, answer.msg, error, result])
+    packed: bytes = msgpack.packb([RESPONSE, answer.message_id, error, result])
     return packed
--- a/grebeproxy/net/resp.py
+++ b/grebeproxy/net/resp.py
@@ -57,7 +57,7 @@
 
 
 def _run_fields(command: Run) -> str:
-    fields = f"kind={command.cls},ms={max(1, int(command.wait * MS_PER_SECOND))}"
+    fields = f"kind={command.query_class},ms={max(1, int(command.timeout * MS_PER_SECOND))}"
     if command.token is not None:
         fields += f",token={command.token}"
     if command.memory_mb:
--- a/grebeproxy/net/runtime.py
+++ b/grebeproxy/net/runtime.py
@@ -1,4 +1,4 @@
-"""One router on an event loop: passes events to the reducer and carries out the effects that it returns.
+"""One router on an event loop: passes events to it and carries out the effects that it returns.
 
 Decisions are made by the reducer (``grebeproxy.net.router``) alone.
 """
@@ -61,18 +61,17 @@
         self._listen_error: OSError | None = None  # raised by ``serve``
         self._done = asyncio.Event()
         self._events: list[events.Event] = []  # for the next step
-        self._stepping = False  # the reducer or its effects are running
-        self._router = router.Router(
+        self._stepping = False  # the router or its effects are running
+        options = router.RouterOptions(
             config.settings,
             config.limits,
             changelog=config.changelog,
             bounds=self.bounds,
             seed=config.seed,
-            now=self.timers.now(),
-            decide=decide,
             shared=shared,
             known=changelog.known_events(config.known, self.timers.from_unix_ms),
         )
+        self._router = router.Router(options, self.timers.now(), decide)
 
     def _override_sync(self) -> OverrideSync | None:
         if not self.config.admin or not self.config.folder:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -156,7 +156,7 @@
     assert opened >= 2 and crossed == opened - 1  # each process ends the connection once
 
 
-def test_an_engine_stays_out_through_an_upgrade_whichever_endpoint_was_called(fleet: Fleet) -> None:
+def test_an_engine_stays_disabled_through_an_upgrade_whichever_endpoint_was_called(fleet: Fleet) -> None:
     (fleet.shared / "grebeproxy-n1.hands").write_bytes(b"half a file")
     old, first = fleet.start()
     assert call(first, "maint-on s-00000001").startswith("ACK")
@@ -171,10 +171,11 @@
     assert old.wait(timeout=30) == 0
     log = fleet.log(0)
     assert 'router.overrides.rejected file=grebeproxy-n1.hands error="torn' in log
-    assert "out by hand: s-00000001\n" in log.split("s-00000001 s-00000002")[1]
+    after = log.split("router.engines.disabled engines=s-00000001,s-00000002")[1]
+    assert "router.engines.disabled engines=s-00000001\n" in after
     assert call(second, "maint-off s-00000001").startswith("ACK")
     third, _ = fleet.start()
-    assert third.poll() is None and "out by hand" not in fleet.log(2)
+    assert third.poll() is None and "router.engines.disabled" not in fleet.log(2)
 
 
 def test_the_admin_endpoint_answers_beside_callers_that_send_nothing(fleet: Fleet) -> None:
