--- a/grebeproxy/membership/wire.py
+++ b/grebeproxy/membership/wire.py
@@ -1,75 +1,134 @@
-"""Datagrams: a version, a keyed digest, and the rest in MessagePack; nothing that came before is taken again.
+"""Datagrams between routers: a version, a keyed digest and a body in MessagePack.
 
-    packet = version:1 digest:16 body        body = [instance, number, mark, payload]
+    packet = version:1 digest:16 body        body = [instance, number, settings digest, payload]
 
-``mark`` stands for what all routers have to be configured alike; a packet with another one is not taken.
-Version 1 had no mark. A body may be longer than what is read here: a later version may add to its end.
+The numbers of one process grow, and each is accepted once. The settings digest stands for the settings that
+must be alike at all routers; a packet with another one is rejected. Version 1 had no settings digest. A body
+may be longer than what is read here, because a later version may add fields at its end.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from dataclasses import dataclass
+from enum import StrEnum
 from hashlib import blake2b
 from hmac import compare_digest
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgpack
 
-from grebeproxy.membership.model import Fact, Kind, MembershipError, Message, State
+from grebeproxy.membership.model import MAX_NAME_BYTES, Fact, Kind, MembershipError, Message, State
 
-VERSION, OLDEST = 2, 1
-MAX_BYTES = 1200  # of a packet, so that it crosses any network whole
-DIGEST = 16
+VERSION = 2
+OLDEST_VERSION = 1
+VERSION_WITHOUT_SETTINGS = 1
+MAX_BYTES = 1200  # of a packet, so that no network fragments it
+DIGEST = 16  # bytes of the keyed digest
+HEADER_BYTES = 1 + DIGEST
 MAX_NUMBER = 2**64 - 1
-MAX_NAME, MAX_HOST, MAX_FACTS = 32, 64, 16
+MAX_PORT = 65535
+MAX_HOST_CHARACTERS = 64
+MAX_FACTS = 16  # in one message
+BODY_FIELDS = 4
+SETTINGS_FIELD = 2  # place of the settings digest in the body
+MESSAGE_FIELDS = 6
+FACT_FIELDS = 7
 WINDOW = 1024  # packets by which one may be late
-MAX_SENDERS = 4096  # processes whose packets are counted; the latest heard stay
+MAX_SENDERS = 4096  # processes whose packet numbers are remembered: those heard of most recently
+
+
+class RejectReason(StrEnum):
+    """Why a packet or payload was rejected. The values appear in the log."""
+
+    WRONG_LENGTH = "wrong_length"
+    UNSUPPORTED_VERSION = "unsupported_version"
+    WRONG_KEY = "wrong_key"
+    MALFORMED = "malformed"
+    SETTINGS_MISMATCH = "settings_mismatch"  # its router is configured differently
+    REPLAYED = "replayed"  # its number was seen before, or is too old to tell
 
 
 class WireError(MembershipError):
-    """A packet that is not taken; the text gives the reason."""
+    """Base class of the codec's errors."""
+
+
+class PacketTooLongError(WireError):
+    """A packet to send would be longer than ``MAX_BYTES``."""
+
+    def __init__(self, length: int) -> None:
+        super().__init__(f"a packet of {length} bytes is longer than {MAX_BYTES}")
+
+
+class PacketRejectedError(WireError):
+    """A received packet or payload is not accepted; ``reason`` tells why, and is the text."""
+
+    def __init__(self, reason: RejectReason) -> None:
+        super().__init__(reason.value)
+        self.reason = reason
+
+
+class PacketBody(NamedTuple):
+    """The body of a packet, in the order of its fields on the wire."""
+
+    instance: int  # of the process that sent it
+    number: int
+    settings_digest: int
+    payload: Any  # plain values, read by the codec of its kind
 
 
 class Sealed:
-    """Seals and opens packets for one process. ``key`` is shared by all routers of a fleet."""
+    """Seals and opens the packets of one process.
+
+    ``key`` is shared by all routers of a fleet, and ``settings_digest`` is the same at all of them.
+    """
 
-    def __init__(self, key: bytes, instance: int, mark: int) -> None:
-        self._key, self._instance, self._mark, self._number = key, instance, mark, 0
+    def __init__(self, key: bytes, instance: int, settings_digest: int) -> None:
+        self._key = key
+        self._instance = instance
+        self._settings_digest = settings_digest
+        self._number = 0
         self._windows: OrderedDict[int, Window] = OrderedDict()
 
     def seal(self, payload: object) -> bytes:
-        """One packet. Raises ``WireError`` where it would not fit."""
+        """One packet. Raises ``PacketTooLongError`` if it would not fit."""
         self._number += 1
-        body: bytes = msgpack.packb([self._instance, self._number, self._mark, payload])
+        body: bytes = msgpack.packb([self._instance, self._number, self._settings_digest, payload])
         packet = bytes([VERSION]) + self._digest(VERSION, body) + body
         if len(packet) > MAX_BYTES:
-            raise WireError(f"a packet of {len(packet)} bytes")
+            raise PacketTooLongError(len(packet))
         return packet
 
     def open(self, packet: bytes) -> Any:
-        """The payload of a packet that nobody else has made, and that comes for the first time."""
-        if len(packet) > MAX_BYTES or len(packet) <= 1 + DIGEST:
-            raise WireError("of a length that cannot be")
-        version, body = packet[0], packet[1 + DIGEST :]
-        if version < OLDEST:
-            raise WireError(f"of version {version}")
-        if not compare_digest(packet[1 : 1 + DIGEST], self._digest(version, body)):
-            raise WireError("made with another key")
+        """The payload of a packet that was made with the key and arrives for the first time.
+
+        Raises ``PacketRejectedError`` for any other.
+        """
+        body = self._read_body(packet)
+        if not _is_natural(body.instance) or not _is_natural(body.number):
+            raise PacketRejectedError(RejectReason.MALFORMED)
+        if body.settings_digest != self._settings_digest:
+            raise PacketRejectedError(RejectReason.SETTINGS_MISMATCH)
+        if not self._window(body.instance).accept(body.number):
+            raise PacketRejectedError(RejectReason.REPLAYED)
+        return body.payload
+
+    def _read_body(self, packet: bytes) -> PacketBody:
+        if len(packet) > MAX_BYTES or len(packet) <= HEADER_BYTES:
+            raise PacketRejectedError(RejectReason.WRONG_LENGTH)
+        version = packet[0]
+        if version < OLDEST_VERSION:
+            raise PacketRejectedError(RejectReason.UNSUPPORTED_VERSION)
+        body = packet[HEADER_BYTES:]
+        if not compare_digest(packet[1:HEADER_BYTES], self._digest(version, body)):
+            raise PacketRejectedError(RejectReason.WRONG_KEY)
         try:
             fields: list[Any] = msgpack.unpackb(body)
-            if version == 1:  # had no mark
-                fields.insert(2, self._mark)
-            instance, number, mark, payload = fields[:4]
+            if version == VERSION_WITHOUT_SETTINGS:
+                fields.insert(SETTINGS_FIELD, self._settings_digest)
+            return PacketBody(*fields[:BODY_FIELDS])
         except (AttributeError, ValueError, TypeError, msgpack.UnpackException):
-            raise WireError("not understood") from None
-        if not _natural(instance) or not _natural(number):
-            raise WireError("not understood")
-        if mark != self._mark:
-            raise WireError("from a router that is configured otherwise")
-        if not self._window(instance).take(number):
-            raise WireError("come before")
-        return payload
+            raise PacketRejectedError(RejectReason.MALFORMED) from None
 
     def _digest(self, version: int, body: bytes) -> bytes:
         return blake2b(bytes([version]) + body, key=self._key, digest_size=DIGEST).digest()
@@ -84,26 +143,33 @@
 
 @dataclass(slots=True)
 class Window:
-    """Which numbers of one sender have come."""
+    """The packet numbers of one sender that have arrived."""
 
     highest: int = 0
-    seen: int = 0  # a bit for each of the latest numbers, the lowest for the highest one
+    seen: int = 0  # one bit for each of the last ``WINDOW`` numbers, the lowest bit for ``highest``
 
-    def take(self, number: int) -> bool:
-        """Tell whether a number comes for the first time and is not too late."""
+    def accept(self, number: int) -> bool:
+        """Record a number. False if it arrived before or is too old to tell."""
         if number > self.highest:
-            self.seen = (self.seen << min(WINDOW, number - self.highest) | 1) & ((1 << WINDOW) - 1)
+            shift = min(WINDOW, number - self.highest)
+            self.seen = (self.seen << shift | 1) & ((1 << WINDOW) - 1)
             self.highest = number
             return True
-        bit = 1 << (self.highest - number)
-        if self.highest - number >= WINDOW or self.seen & bit:
+        age = self.highest - number
+        if age >= WINDOW:
+            return False
+        bit = 1 << age
+        if self.seen & bit:
             return False
         self.seen |= bit
         return True
 
 
+# --- messages
+
+
 def packed(message: Message) -> list[object]:
-    """A message as what MessagePack can write."""
+    """A message as plain values for MessagePack, in the order of the fields on the wire."""
     return [
         int(message.kind),
         _packed_fact(message.sender),
@@ -115,43 +181,61 @@
 
 
 def unpacked(payload: object) -> Message:
-    """The message in a payload. Raises ``WireError`` for one that cannot be."""
+    """The message in a payload. Raises ``PacketRejectedError`` for one that makes no sense."""
     try:
-        kind, sender, number, target, digest, facts = payload[:6]  # type: ignore[index]
-        if not isinstance(facts, list) or len(facts) > MAX_FACTS:
-            raise WireError("not understood")
-        if not _natural(number) or not _natural(digest):
-            raise WireError("not understood")
+        kind, sender, number, target, digest, facts = payload[:MESSAGE_FIELDS]  # type: ignore[index]
+        _require(isinstance(facts, list) and len(facts) <= MAX_FACTS)
         return Message(
             Kind(kind),
-            _fact(sender),
-            number,
-            _name(target, empty=True),
-            digest,
-            tuple(_fact(fact) for fact in facts),
+            _unpacked_fact(sender),
+            _natural(number),
+            _name_or_empty(target),
+            _natural(digest),
+            tuple(_unpacked_fact(fact) for fact in facts),
         )
     except (ValueError, TypeError, KeyError, AttributeError):
-        raise WireError("not understood") from None
+        raise PacketRejectedError(RejectReason.MALFORMED) from None
 
 
 def _packed_fact(fact: Fact) -> list[object]:
     return [fact.name, *fact.address, fact.instance, fact.incarnation, int(fact.state), fact.suspected_by]
 
 
-def _fact(fields: Any) -> Fact:
-    name, host, port, instance, incarnation, state, by = fields[:7]
-    if not isinstance(host, str) or not 1 <= len(host) <= MAX_HOST or not _natural(port, 65535) or not port:
-        raise WireError("not understood")
-    if not _natural(instance) or not _natural(incarnation):
-        raise WireError("not understood")
-    return Fact(_name(name), (host, port), instance, incarnation, State(state), _name(by, empty=True))
+def _unpacked_fact(fields: Any) -> Fact:
+    name, host, port, instance, incarnation, state, suspected_by = fields[:FACT_FIELDS]
+    _require(isinstance(host, str) and 1 <= len(host) <= MAX_HOST_CHARACTERS)
+    _require(_is_natural(port) and 1 <= port <= MAX_PORT)
+    return Fact(
+        _name(name),
+        (host, port),
+        _natural(instance),
+        _natural(incarnation),
+        State(state),
+        _name_or_empty(suspected_by),
+    )
+
+
+def _name(value: object) -> str:
+    _require(value != "")
+    return _name_or_empty(value)
+
+
+def _name_or_empty(value: object) -> str:
+    if not isinstance(value, str) or len(value.encode()) > MAX_NAME_BYTES:
+        raise PacketRejectedError(RejectReason.MALFORMED)
+    return value
+
+
+def _natural(value: object) -> int:
+    if not isinstance(value, int) or not _is_natural(value):
+        raise PacketRejectedError(RejectReason.MALFORMED)
+    return value
 
 
-def _name(fields: Any, *, empty: bool = False) -> str:
-    if not isinstance(fields, str) or len(fields.encode()) > MAX_NAME or not (fields or empty):
-        raise WireError("not understood")
-    return fields
+def _is_natural(value: object) -> bool:
+    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value <= MAX_NUMBER
 
 
-def _natural(fields: Any, most: int = MAX_NUMBER) -> bool:
-    return isinstance(fields, int) and not isinstance(fields, bool) and 0 <= fields <= most
+def _require(valid: bool) -> None:
+    if not valid:
+        raise PacketRejectedError(RejectReason.MALFORMED)
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -163,7 +163,7 @@
     came: set[int] = set()
     for number in numbers:
         wanted = number not in came and number > max(came, default=0) - WINDOW
-        assert window.take(number) is wanted
+        assert window.accept(number) is wanted
         came.add(number)
 
 
--- a/tests/test_peers_lab.py
+++ b/tests/test_peers_lab.py
@@ -109,10 +109,7 @@
     lab.start(2, fleet=1)  # by itself a fleet of one: it must not act for the others
     lab.until(lambda: lab.agree([0, 1]), 30.0)
     lab.until(
-        lambda: any(
-            line.get("reason") == "from a router that is configured otherwise"
-            for line in lab.lines(0) + lab.lines(1)
-        ),
+        lambda: any(line.get("reason") == "settings_mismatch" for line in lab.lines(0) + lab.lines(1)),
         30.0,
     )
     lab.check()
