--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,94 +1,110 @@
-"""What membership costs and how soon it finds a failed router, with many cores on one simulated clock.
+"""What membership costs and how soon it detects a failure, with many routers on one simulated clock.
 
     python benchmarks/members.py [MEMBERS ...]
 
-Times are simulated seconds with the default period of 0.5 s; bytes are those of sealed packets without
-UDP's own.
+Times are simulated seconds with the default period of 0.5 s; bytes are those of sealed packets without UDP's
+headers.
 """
 
 from __future__ import annotations
 
 import statistics
 import sys
+from collections.abc import Iterable
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from members import Net
+from members import Network
 
-from grebeproxy.membership import Send
+from grebeproxy.membership import Effect, Membership, Send
 from grebeproxy.membership.wire import Sealed, packed
 
+DEFAULT_SIZES = [3, 50, 200]
+QUIET_SECONDS = 20.0
+FALSE_ALARM_SECONDS = 60.0
+MOST_SECONDS = 120.0  # until all agree
+FAILURE_RUNS = ((9, 20), (50, 3))  # members, and seeds to run
 
-class Weighed(Net):
+
+class WeighedNetwork(Network):
     """Counts the bytes of what is sent."""
 
-    weight = 0
+    sent_bytes = 0
 
-    def carry_out(self, n, core, effects):  # type: ignore[no-untyped-def]
-        """As before, with each packet sealed."""
+    def carry_out(self, place: int, core: Membership, effects: Iterable[Effect]) -> None:
+        """Seal each packet as well, to count its bytes."""
+        effects = list(effects)
         sealed = Sealed(b"k" * 16, core.me.instance, 1)
-        self.weight += sum(len(sealed.seal([1, packed(e.message)])) for e in effects if isinstance(e, Send))
-        super().carry_out(n, core, effects)
-
-
-def joined(n: int, seed: int, loss: float) -> Weighed:
-    """All know each other, and it is quiet."""
-    net = Weighed(seed, n)
-    net.start(*range(n))
-    net.until(lambda: net.agree(range(n)), 120.0)
-    net.loss = loss
-    net.run(20.0)
-    return net
-
-
-def cost(n: int) -> str:
-    """What each member sends a second in 20 quiet ones."""
-    net = joined(n, 1, 0.0)
-    sent, weight = net.sent, net.weight
-    net.run(20.0)
-    packets, weight = (net.sent - sent) / n / 20, (net.weight - weight) / n / 20
-    return f"{n:5} members: {packets:5.1f} packets, {weight:6.0f} bytes a second and member"
-
-
-def found(n: int, loss: float, plays: int) -> str:
-    """How soon a killed one has failed for the first and for all, and who failed that had not."""
-    first, last, alarms, refuted = [], [], 0, 0
-    for seed in range(plays):
-        net = joined(n, seed, loss)
-        net.told.clear()
-        net.run(60.0)
-        alarms += len({name for _, _, word, name in net.told if word == "failed"})
-        net.told.clear()
-        net.kill(n // 2)
-        began = net.now
-        gone = f"n{n // 2}"
-        net.until(
-            lambda net=net, gone=gone: all(  # type: ignore[misc]
-                gone not in core.view.members for core in net.cores.values()
+        for effect in effects:
+            if isinstance(effect, Send):
+                self.sent_bytes += len(sealed.seal([1, packed(effect.message)]))
+        super().carry_out(place, core, effects)
+
+
+def joined(members: int, seed: int, loss: float) -> WeighedNetwork:
+    """A network in which all members know each other and nothing is gossiped any more."""
+    network = WeighedNetwork(seed, members)
+    network.start(*range(members))
+    network.run_until(lambda: network.agree(range(members)), MOST_SECONDS)
+    network.loss = loss
+    network.run(QUIET_SECONDS)
+    return network
+
+
+def quiet_cost(members: int) -> str:
+    """What each member sends a second while nothing changes."""
+    network = joined(members, 1, 0.0)
+    sent_before = network.sent
+    bytes_before = network.sent_bytes
+    network.run(QUIET_SECONDS)
+    packets = (network.sent - sent_before) / members / QUIET_SECONDS
+    sent_bytes = (network.sent_bytes - bytes_before) / members / QUIET_SECONDS
+    return f"{members:5} members: {packets:5.1f} packets, {sent_bytes:6.0f} bytes a second and member"
+
+
+def failure_detection(members: int, loss: float, runs: int) -> str:
+    """How soon a killed member has failed for the first and for all others, and who failed wrongly."""
+    first = []
+    last = []
+    false_alarms = 0
+    for seed in range(runs):
+        network = joined(members, seed, loss)
+        network.notices.clear()
+        network.run(FALSE_ALARM_SECONDS)
+        false_alarms += len({notice.name for notice in network.failures()})
+        network.notices.clear()
+        killed = f"n{members // 2}"
+        network.kill(members // 2)
+        began = network.now
+        network.run_until(
+            lambda network=network, killed=killed: all(  # type: ignore[misc]
+                killed not in core.view.members for core in network.cores.values()
             ),
-            120.0,
+            MOST_SECONDS,
         )
-        times = [at - began for at, _, word, name in net.told if word == "failed" and name == gone]
+        failures = network.failures()
+        times = [notice.time - began for notice in failures if notice.name == killed]
         first.append(min(times))
         last.append(max(times))
-        refuted += len({name for _, _, word, name in net.told if word == "failed" and name != gone})
+        false_alarms += len({notice.name for notice in failures if notice.name != killed})
     return (
-        f"{n:5} members, {loss:3.0%} loss: failed for the first after {statistics.median(first):4.1f} s, "
+        f"{members:5} members, {loss:3.0%} loss: "
+        f"failed for the first after {statistics.median(first):4.1f} s, "
         f"for all after {statistics.median(last):4.1f} s (most {max(last):4.1f}); "
-        f"{alarms + refuted} false alarms in {plays} plays of a minute"
+        f"{false_alarms} false alarms in {runs} runs of a minute"
     )
 
 
 def main() -> None:
     """Print all figures."""
-    sizes = [int(word) for word in sys.argv[1:]] or [3, 50, 200]
-    for n in sizes:
-        print(cost(n), flush=True)
+    sizes = [int(argument) for argument in sys.argv[1:]] or DEFAULT_SIZES
+    for members in sizes:
+        print(quiet_cost(members), flush=True)
     for loss in (0.0, 0.1, 0.3):
-        print(found(9, loss, 20), flush=True)
-        print(found(50, loss, 3), flush=True)
+        for members, runs in FAILURE_RUNS:
+            print(failure_detection(members, loss, runs), flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -1,6 +1,4 @@
-"""Datagrams between routers: read back as written, and nothing taken that was spoilt, foreign or came
-before.
-"""
+"""Datagrams between routers: they decode as encoded; corrupt, foreign and replayed ones are rejected."""
 
 from __future__ import annotations
 
@@ -48,39 +46,39 @@
 KEY = b"a key of the fleet"
 
 
-def pair(mark: int = 7) -> tuple[Sealed, Sealed]:
-    return Sealed(KEY, 1, 7), Sealed(KEY, 2, mark)
+def pair(settings_digest: int = 7) -> tuple[Sealed, Sealed]:
+    return Sealed(KEY, 1, 7), Sealed(KEY, 2, settings_digest)
 
 
 @given(MESSAGES)
-def test_a_message_is_read_as_it_was_written_and_fits_a_packet(message: Message) -> None:
+def test_a_message_decodes_as_it_was_encoded_and_fits_a_packet(message: Message) -> None:
     one, other = pair()
     packet = one.seal(packed(message))
     assert len(packet) <= MAX_BYTES
     assert unpacked(other.open(packet)) == message
-    # A second reading, by hand: what is on the wire is what the page says.
-    instance, number, mark, payload = msgpack.unpackb(packet[1 + DIGEST :])
-    assert (packet[0], instance, number, mark) == (2, 1, 1, 7)
+    # Decoded by hand as well: the wire is as documented.
+    instance, number, settings_digest, payload = msgpack.unpackb(packet[1 + DIGEST :])
+    assert (packet[0], instance, number, settings_digest) == (2, 1, 1, 7)
     assert payload[0] == int(message.kind) and len(payload[5]) == len(message.facts)
     assert all(
-        told[0] == fact.name and told[1:3] == list(fact.address)
-        for told, fact in zip(payload[5], message.facts, strict=True)
+        fields[0] == fact.name and fields[1:3] == list(fact.address)
+        for fields, fact in zip(payload[5], message.facts, strict=True)
     )
 
 
 @given(MESSAGES, st.data())
-def test_a_spoilt_packet_is_not_taken(message: Message, data: st.DataObject) -> None:
+def test_a_corrupt_packet_is_rejected(message: Message, data: st.DataObject) -> None:
     one, other = pair()
     packet = one.seal(packed(message))
-    at = data.draw(st.integers(0, len(packet) - 1))
-    flipped = bytes([packet[at] ^ data.draw(st.integers(1, 255))])
-    for spoilt in (packet[:at], packet[:at] + flipped + packet[at + 1 :], packet + b"x"):
+    position = data.draw(st.integers(0, len(packet) - 1))
+    flipped = bytes([packet[position] ^ data.draw(st.integers(1, 255))])
+    for corrupt in (packet[:position], packet[:position] + flipped + packet[position + 1 :], packet + b"x"):
         with pytest.raises(WireError):
-            other.open(spoilt)
+            other.open(corrupt)
 
 
 @given(st.binary(max_size=MAX_BYTES + 1))
-def test_noise_is_not_taken(noise: bytes) -> None:
+def test_noise_is_rejected(noise: bytes) -> None:
     with pytest.raises(WireError):
         pair()[1].open(noise)
 
@@ -99,7 +97,7 @@
 
 
 @given(SCRAPS)
-def test_what_has_the_right_key_and_makes_no_sense_is_told_so(payload: object) -> None:
+def test_a_payload_that_makes_no_sense_is_rejected(payload: object) -> None:
     one, other = pair()
     try:
         opened = other.open(one.seal(payload))
@@ -110,15 +108,15 @@
 
 
 @given(MESSAGES, st.data())
-def test_a_field_that_cannot_be_is_told_of_whichever_it_is(message: Message, data: st.DataObject) -> None:
-    told = packed(message)
-    at = data.draw(st.integers(0, 5))
-    told[at] = data.draw(st.sampled_from([None, -1, 2.5, "x" * 33, {}, b"", [[]] * (MAX_FACTS + 1)]))
+def test_an_invalid_field_is_rejected_whichever_it_is(message: Message, data: st.DataObject) -> None:
+    fields = packed(message)
+    position = data.draw(st.integers(0, 5))
+    fields[position] = data.draw(st.sampled_from([None, -1, 2.5, "x" * 33, {}, b"", [[]] * (MAX_FACTS + 1)]))
     with pytest.raises(WireError):
-        unpacked(told)
+        unpacked(fields)
 
 
-def test_another_key_mark_or_version_is_not_taken_and_a_later_one_is() -> None:
+def test_another_key_or_settings_digest_or_an_old_version_is_rejected_and_a_later_one_accepted() -> None:
     one, other = pair()
     packet = one.seal([1])
     for wrong in (Sealed(b"another key", 2, 7), Sealed(KEY, 2, 8)):
@@ -143,31 +141,31 @@
             other.open(by_hand(version, body))
 
 
-def test_what_came_before_is_not_taken_again_in_any_order() -> None:
+def test_a_replayed_packet_is_rejected_in_any_order() -> None:
     one, other = pair()
     packets = [one.seal([n]) for n in range(200)]
     order = packets * 2
     Random(1).shuffle(order)
-    taken = []
+    accepted = []
     for packet in order:
         try:
-            taken.append(other.open(packet)[0])
+            accepted.append(other.open(packet)[0])
         except WireError:
             continue
-    assert sorted(taken) == list(range(200))
+    assert sorted(accepted) == list(range(200))
 
 
 @given(st.lists(st.integers(1, 3 * WINDOW), max_size=60))
-def test_the_window_takes_what_a_set_of_all_that_came_would(numbers: list[int]) -> None:
+def test_the_window_accepts_what_a_set_of_all_numbers_would(numbers: list[int]) -> None:
     window = Window()
-    came: set[int] = set()
+    arrived: set[int] = set()
     for number in numbers:
-        wanted = number not in came and number > max(came, default=0) - WINDOW
-        assert window.accept(number) is wanted
-        came.add(number)
+        expected = number not in arrived and number > max(arrived, default=0) - WINDOW
+        assert window.accept(number) is expected
+        arrived.add(number)
 
 
-def test_senders_that_are_counted_are_bounded() -> None:
+def test_the_number_of_remembered_senders_is_bounded() -> None:
     other = Sealed(KEY, 2, 7)
     for instance in range(5000):
         other.open(Sealed(KEY, instance, 7).seal([]))
--- a/tests/voters.py
+++ b/tests/voters.py
@@ -1,4 +1,4 @@
-"""Many routers' leases on one true time: clocks that drift, a bad network, stalls, restarts, and a fence."""
+"""Many routers' leases on one true time: clocks that drift, a bad network, pauses, restarts, and a fence."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from heapq import heappop, heappush
 from itertools import count
 from random import Random
-from typing import Any
+from typing import NamedTuple, Union
 
 from grebeproxy.membership.lease import (
     DRIFT,
@@ -16,129 +16,162 @@
     LeaseConfig,
     Leases,
     LeaseLost,
-    TokenRejected,
+    LeaseWanted,
     SendVote,
     Token,
+    TokenRejected,
     ViewUpdated,
     VoteReceived,
-    LeaseWanted,
     Woken,
 )
 from grebeproxy.membership.model import Condition, View, Wake
 
-LEASE, LENGTH = "duty", 2.0
+LEASE = "duty"
+LENGTH = 2.0  # seconds
+ACT_INTERVAL = 0.1  # seconds between two acts of the holder
+CLOCK_OFFSET = 1000.0  # seconds between the clocks of two routers
+ANY_PROCESS = -1  # process of a queued event that reaches whichever one runs at its router
+DEFAULT_DELAY = (0.001, 0.05)
+
+
+class ActDue(NamedTuple):
+    """A router acts now if it holds the lease."""
+
+
+class ActArrives(NamedTuple):
+    """What a holder did reaches the place where it takes effect."""
+
+    token: Token
+
+
+class Act(NamedTuple):
+    """An act that took effect."""
+
+    time: float
+    router: int
+    token: Token
+
+
+QueuedEvent = Union[Event, ActDue, ActArrives]
 
 
 @dataclass
 class Voters:
-    """``n`` routers that all want one lease. All times are true ones; each core sees its own clock."""
+    """``n`` routers that all want one lease. All times are true ones; each router sees its own clock."""
 
     seed: int
     n: int
     loss: float = 0.0
-    delay: tuple[float, float] = (0.001, 0.05)
+    delay: tuple[float, float] = DEFAULT_DELAY
     drift: float = DRIFT / 2
     now: float = 0.0
-    faults: list[str] = field(default_factory=list)
-    acts: list[tuple[float, int, Token]] = field(default_factory=list)  # that took effect
-    refused: int = 0
+    violations: list[str] = field(default_factory=list)
+    acts: list[Act] = field(default_factory=list)
+    rejected: int = 0
 
     def __post_init__(self) -> None:
         self.rng = Random(self.seed)
         self.numbers = count()
-        self.queue: list[tuple[float, int, int, int, Any]] = []
-        self.rate = [1.0 + self.rng.uniform(-self.drift, self.drift) for _ in range(self.n)]
+        self.queue: list[tuple[float, int, int, int, QueuedEvent]] = []
+        self.clock_rates = [1.0 + self.rng.uniform(-self.drift, self.drift) for _ in range(self.n)]
         self.side = [0] * self.n
-        self.life = [0] * self.n
-        self.frozen_until = [0.0] * self.n
+        self.process = [0] * self.n  # counts the starts of each router
+        self.paused_until = [0.0] * self.n
         self.cores: list[Leases] = []
         self.fence = Fence()
-        for n in range(self.n):
-            self.cores.append(self.made(n))
-            self.begin(n)
+        for router in range(self.n):
+            self.cores.append(self.new_core(router))
+            self.begin(router)
 
-    def clock(self, n: int, at: float) -> float:
-        return 1000.0 * n + at * self.rate[n]
+    def clock(self, router: int, time: float) -> float:
+        return CLOCK_OFFSET * router + time * self.clock_rates[router]
 
-    def made(self, n: int) -> Leases:
+    def new_core(self, router: int) -> Leases:
         instance = self.rng.getrandbits(60)
-        config = LeaseConfig(f"n{n}", instance, self.n, LENGTH)
-        return Leases(config, Random(instance), self.clock(n, self.now))
+        config = LeaseConfig(f"n{router}", instance, self.n, LENGTH)
+        return Leases(config, Random(instance), self.clock(router, self.now))
+
+    def begin(self, router: int) -> None:
+        self.step(router, LeaseWanted(LEASE), ViewUpdated(self.view(router)))
+        self.schedule(self.now + self.rng.uniform(0, 0.2), router, self.process[router], ActDue())
 
-    def begin(self, n: int) -> None:
-        self.do(n, LeaseWanted(LEASE), ViewUpdated(self.view(n)))
-        at = self.now + self.rng.uniform(0, 0.2)
-        heappush(self.queue, (at, next(self.numbers), n, self.life[n], "act"))
+    def schedule(self, time: float, router: int, process: int, event: QueuedEvent) -> None:
+        heappush(self.queue, (time, next(self.numbers), router, process, event))
 
-    def view(self, n: int) -> View:
-        members = tuple(f"n{m}" for m in range(self.n) if self.side[m] == self.side[n])
+    def view(self, router: int) -> View:
+        members = tuple(f"n{other}" for other in range(self.n) if self.side[other] == self.side[router])
         quorate = 2 * len(members) > self.n
         return View(1, members, Condition.SETTLED if quorate else Condition.MINORITY, 0.0)
 
-    def do(self, n: int, *events: Event) -> None:
-        for effect in self.cores[n].step(self.clock(n, self.now), events):
+    def step(self, router: int, *events: Event) -> None:
+        for effect in self.cores[router].step(self.clock(router, self.now), events):
             match effect:
                 case SendVote(to, vote):
-                    m = int(to[1:])
-                    if self.side[m] == self.side[n] and self.rng.random() >= self.loss:
-                        at = self.now + self.rng.uniform(*self.delay)
-                        heard = VoteReceived(f"n{n}", self.cores[n].instance, vote)
-                        heappush(self.queue, (at, next(self.numbers), m, -1, heard))
+                    receiver = int(to[1:])
+                    if self.side[receiver] == self.side[router] and self.rng.random() >= self.loss:
+                        time = self.now + self.rng.uniform(*self.delay)
+                        received = VoteReceived(f"n{router}", self.cores[router].instance, vote)
+                        self.schedule(time, receiver, ANY_PROCESS, received)
                 case Wake(at):
-                    true = max(self.now, (at - 1000.0 * n) / self.rate[n])
-                    heappush(self.queue, (true + 1e-6, next(self.numbers), n, self.life[n], Woken()))
+                    time = max(self.now, (at - CLOCK_OFFSET * router) / self.clock_rates[router])
+                    self.schedule(time + 1e-6, router, self.process[router], Woken())
                 case LeaseAcquired() | LeaseLost():
                     self.check()
 
     def check(self) -> None:
-        """At no moment do two hold it, each by its own clock."""
-        holders = [n for n, core in enumerate(self.cores) if core.token(LEASE, self.clock(n, self.now))]
+        """At no moment do two hold the lease, each by its own clock."""
+        holders = [
+            router
+            for router, core in enumerate(self.cores)
+            if core.token(LEASE, self.clock(router, self.now))
+        ]
         if len(holders) > 1:
-            self.faults.append(f"{self.now:.3f}: {holders} hold it")
+            self.violations.append(f"{self.now:.3f}: {holders} hold it")
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
         while self.queue and self.queue[0][0] <= until:
-            self.now, _, n, life, event = heappop(self.queue)
-            if life not in (-1, self.life[n]):
+            self.now, _, router, process, event = heappop(self.queue)
+            if process not in (ANY_PROCESS, self.process[router]):
                 continue
-            if self.now < self.frozen_until[n]:
-                heappush(self.queue, (self.frozen_until[n], next(self.numbers), n, life, event))
-            elif event == "act":
-                self.act(n)
-            elif isinstance(event, tuple):  # what was sent to where it takes effect arrives
-                self.effect(n, event)
+            if self.now < self.paused_until[router]:
+                self.schedule(self.paused_until[router], router, process, event)
+            elif isinstance(event, ActDue):
+                self.act(router)
+            elif isinstance(event, ActArrives):
+                self.take_effect(router, event.token)
             else:
-                self.do(n, event)
+                self.step(router, event)
         self.now = until
         self.check()
 
-    def act(self, n: int) -> None:
-        """Do the duty, if it is held: what is sent takes its time, or this process stands still first."""
-        token = self.cores[n].token(LEASE, self.clock(n, self.now))
-        heappush(self.queue, (self.now + 0.1, next(self.numbers), n, self.life[n], "act"))
+    def act(self, router: int) -> None:
+        """Act if the lease is held. The act takes its time to arrive, or this process is paused first."""
+        token = self.cores[router].token(LEASE, self.clock(router, self.now))
+        self.schedule(self.now + ACT_INTERVAL, router, self.process[router], ActDue())
         if token is not None:
             late = self.rng.uniform(0.0, 0.01) if self.rng.random() < 0.9 else self.rng.uniform(0.0, 6.0)
-            heappush(self.queue, (self.now + late, next(self.numbers), n, -1, (token,)))
+            self.schedule(self.now + late, router, ANY_PROCESS, ActArrives(token))
 
-    def effect(self, n: int, event: tuple[Token]) -> None:
-        if self.fence.admit(LEASE, event[0]):
-            if self.acts and event[0] < self.acts[-1][2]:
-                self.faults.append(f"{self.now:.3f}: {event[0]} after {self.acts[-1][2]}")
-            self.acts.append((self.now, n, event[0]))
+    def take_effect(self, router: int, token: Token) -> None:
+        if self.fence.admit(LEASE, token):
+            if self.acts and token < self.acts[-1].token:
+                self.violations.append(f"{self.now:.3f}: {token} after {self.acts[-1].token}")
+            self.acts.append(Act(self.now, router, token))
         else:
-            self.refused += 1
-            self.do(n, TokenRejected(LEASE, self.fence.highest(LEASE)))
+            self.rejected += 1
+            self.step(router, TokenRejected(LEASE, self.fence.highest(LEASE)))
 
-    def trouble(self) -> None:
+    def inject_fault(self) -> None:
         """One random fault, or the end of one."""
-        n = self.rng.randrange(self.n)
+        router = self.rng.randrange(self.n)
         match self.rng.randrange(6):
             case 0:
-                self.cores[n], self.life[n] = self.made(n), self.life[n] + 1
-                self.begin(n)
+                self.cores[router] = self.new_core(router)
+                self.process[router] += 1
+                self.begin(router)
             case 1:
-                self.frozen_until[n] = self.now + self.rng.uniform(0.1, 3 * LENGTH)
+                self.paused_until[router] = self.now + self.rng.uniform(0.1, 3 * LENGTH)
             case 2 | 3:
                 groups = self.rng.choice([1, 2, 3])
                 self.side = [self.rng.randrange(groups) for _ in range(self.n)]
@@ -146,9 +179,15 @@
                 self.heal()
             case 5:
                 self.loss = self.rng.choice([0.0, 0.3])
-                self.delay = self.rng.choice([(0.001, 0.05), (0.001, 1.5 * LENGTH)])
-        for m in range(self.n):
-            self.do(m, ViewUpdated(self.view(m)))
+                self.delay = self.rng.choice([DEFAULT_DELAY, (0.001, 1.5 * LENGTH)])
+        self.update_views()
+
+    def update_views(self) -> None:
+        """Give each router its present view."""
+        for router in range(self.n):
+            self.step(router, ViewUpdated(self.view(router)))
 
     def heal(self) -> None:
-        self.side, self.loss, self.delay = [0] * self.n, 0.0, (0.001, 0.05)
+        self.side = [0] * self.n
+        self.loss = 0.0
+        self.delay = DEFAULT_DELAY
