--- a/grebeproxy/membership/swim.py
+++ b/grebeproxy/membership/swim.py
@@ -57,11 +57,6 @@
         self._wake_at: float | None = None
         self._start_timers()
 
-    @property
-    def config(self) -> Config:
-        """The settings of this router."""
-        return self._context.config
-
     @property
     def me(self) -> Fact:
         """What this router sends of itself."""
