--- a/grebeproxy/lab/capacity/measure/statement.py
+++ b/grebeproxy/lab/capacity/measure/statement.py
@@ -77,9 +77,11 @@
     calls = [call for request in requests for call in decoder.feed(request) if isinstance(call, Call)]
     assert len(calls) == CODEC_STATEMENTS
     memory_mb = float(MEMORY_MB)
-    runs = [Run(call.txn, call.cls, REMAINING_SECONDS, call.body, call.token, memory_mb) for call in calls]
+    runs = [
+        Run(call.txn, call.query_class, REMAINING_SECONDS, call.body, call.token, memory_mb) for call in calls
+    ]
     answers = [_engine_answer(call.txn) for call in calls]
-    served = [Served(call.msg, (RESULT_PAGE,)) for call in calls]
+    served = [Served(call.message_id, (RESULT_PAGE,)) for call in calls]
     engine_decoder = resp.Decoder()
     return {
         "decode_us": _min_cpu_us(lambda: [list(decoder.feed(request)) for request in requests]),
--- a/grebeproxy/lab/scale/real_routers.py
+++ b/grebeproxy/lab/scale/real_routers.py
@@ -136,7 +136,7 @@
         """Wait until the router accepts clients. Raises ``RouterStartError``."""
         try:
             async with asyncio.timeout(START_TIMEOUT_S):
-                while "serving on" not in self._log():
+                while "router.listener.opened" not in self._log():
                     await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
             shown = self._log()[-SHOWN_LOG_CHARACTERS:]
--- a/grebeproxy/lab/scale/watcher.py
+++ b/grebeproxy/lab/scale/watcher.py
@@ -10,7 +10,8 @@
 from grebeproxy.lab.scale.addresses import Address
 from grebeproxy.lab.scale.clock import SkewedClock
 from grebeproxy.lab.scale.meter import Meter
-from grebeproxy.net import changelog, follower
+from grebeproxy.net import changelog
+from grebeproxy.net.follower import Follower
 from grebeproxy.net.messages import BadFrameError
 from grebeproxy.policy import Choice
 from grebeproxy.policy.interface import EngineList, Settings
@@ -44,7 +45,7 @@
 
 
 class Watcher:
-    """Follows the change log as the router's reducer does, and applies each list to a decision module."""
+    """Follows the change log as the router does, and applies each list to a decision module."""
 
     def __init__(
         self, address: Address, settings: Settings, seed: int, clock: SkewedClock, meter: Meter
@@ -53,11 +54,11 @@
         self.clock = clock
         self.choice = Choice(settings, clock.now(), seed)
         self.applied_at: dict[int, float] = {}  # by event, on the machine's clock
-        # Kept as the product's reducer keeps them, so that memory and CPU time are comparable.
+        # Kept as the product's router keeps them, so that memory and CPU time are comparable.
         self.addresses: dict[str, Address] = {}
         self.lost_connections = 0
         self._meter = meter
-        self._follower = follower.Follower(address, clock.now())
+        self._follower = Follower(address, clock.now())
         self._connection: LogConnection | None = None
         self._connecting: asyncio.Task[None] | None = None
         self._timers: set[asyncio.TimerHandle] = set()
@@ -87,7 +88,7 @@
         if self._closed or dials != self._follower.dials:
             return
         self._disconnect()
-        request = follower.dial(self._follower, self.clock.now())
+        request = self._follower.dial(self.clock.now())
         self._connection = LogConnection(self, request.seq)
         self._connecting = asyncio.get_running_loop().create_task(self._connect(self._connection))
         self._schedule(self._silence_ends_at(), self._check_silence)
@@ -101,7 +102,7 @@
 
     def _silence_ends_at(self) -> float:
         """When the connection is given up unless something arrives, on the router's clock."""
-        return follower.due(self._follower, self.settings.rules.drain_grace)
+        return self._follower.due(self.settings.rules.drain_grace)
 
     def _schedule(self, router_time: float, call: Callable[[int], None]) -> None:
         """Call with the number of the current dial, so that the call can tell if it is outdated."""
@@ -125,7 +126,7 @@
         if self.clock.now() < due_at - TIMER_TOLERANCE_S:
             self._schedule(due_at, self._check_silence)
             return
-        follower.hung(self._follower)
+        self._follower.timed_out()
         self.lost_connections += 1
         self._dial(dials)
 
@@ -133,7 +134,7 @@
         """Note that the connection is established and its hello sent."""
         if connection is self._connection:
             self._meter.sent(hello_bytes)
-            follower.opened(self._follower, self.clock.now())
+            self._follower.opened(self.clock.now())
 
     def received(self, connection: LogConnection, data: bytes) -> None:
         """Decode what arrived and apply new events; the connection ends on a protocol error."""
@@ -143,7 +144,7 @@
         try:
             with self._meter:
                 for update in connection.decoder.feed(data):
-                    is_new = follower.read(self._follower, update, self.clock.now())
+                    is_new = self._follower.read(update, self.clock.now())
                     if is_new and update.change is not None:
                         self._apply(update.seq, update.change, update.addresses or {})
         except (BadFrameError, ValueError):
@@ -159,5 +160,5 @@
         if connection is not self._connection or self._closed or not self._follower.open:
             return
         self.lost_connections += 1
-        retry_at = self.clock.now() + follower.lose(self._follower)
+        retry_at = self.clock.now() + self._follower.lose()
         self._schedule(retry_at, self._dial)
--- a/tests/test_peers_lab.py
+++ b/tests/test_peers_lab.py
@@ -109,10 +109,7 @@
     lab.start(2, fleet=1)  # a majority by itself: it must not do the duty of the others
     lab.until(lambda: lab.agree([0, 1]), 30.0)
     lab.until(
-        lambda: any(
-            line.get("reason") == "from a router that is configured otherwise"
-            for line in lab.lines(0) + lab.lines(1)
-        ),
+        lambda: any(line.get("reason") == "settings_mismatch" for line in lab.lines(0) + lab.lines(1)),
         30.0,
     )
     lab.check()
@@ -133,7 +130,7 @@
 
 def test_nothing_is_imported_while_peers_are_off() -> None:
     text = (
-        "import sys, grebeproxy.__main__; assert grebeproxy.__main__.peers('n', None) is None; "
+        "import sys, grebeproxy.__main__; assert grebeproxy.__main__.peers_service('n', None) is None; "
         "print([m for m in sys.modules if m.startswith(('grebeproxy.peers', 'grebeproxy.membership', "
         "'grebeproxy.replica', 'hcl2', 'structlog'))])"
     )
