--- a/grebeproxy/lab/capacity/measure/cold.py
+++ b/grebeproxy/lab/capacity/measure/cold.py
@@ -75,7 +75,7 @@
         while sends := [action for action in actions if isinstance(action, api.Send)]:
             actions = []
             for send in sends:
-                work = choice.jobs[send.id].query.work or 0.0
+                work = choice.queries[send.id].request.work or 0.0
                 yield send.engine, work
                 ended = api.AttemptEnded(send.id, send.engine, 0, api.Outcome.OK, work, True, work)
                 actions += choice.handle(at, [ended])
--- a/grebeproxy/lab/capacity/measure/statement.py
+++ b/grebeproxy/lab/capacity/measure/statement.py
@@ -127,7 +127,7 @@
             self._later(now + action.delay, api.TimerFired(action.name))
         elif isinstance(action, api.Send):
             number = self._attempts[action.id] = self._attempts.get(action.id, -1) + 1
-            work = self._choice.jobs[action.id].work
+            work = self._choice.queries[action.id].work
             self._later(
                 now + work,
                 api.AttemptEnded(action.id, action.engine, number, api.Outcome.OK, work, True, work),
--- a/grebeproxy/lab/scale/hollow_routers.py
+++ b/grebeproxy/lab/scale/hollow_routers.py
@@ -182,7 +182,9 @@
 
     def engines_known(self) -> list[int]:
         """How many engines each router's decision module has on record."""
-        return [len(router.watcher.choice.listing) for router in self._routers if router.watcher is not None]
+        return [
+            len(router.watcher.choice.engine_list) for router in self._routers if router.watcher is not None
+        ]
 
     def lost_connections(self) -> int:
         """How often a connection to the change log was given up."""
--- a/grebeproxy/policy/__init__.py
+++ b/grebeproxy/policy/__init__.py
@@ -1,9 +1,17 @@
-"""The decision module: which engine runs a query, when, whether it is tried again, what is turned away.
+"""The decision module: which engine runs a query and when, whether it is retried, and what is rejected.
 
-``Choice`` is its face, ``interface`` what it is told and what it answers. It does no input or output and
-reads no clock. Each part is a layer on the one before: records (``books``), the rules of sending
-(``rules``), the health of engines (``health``), placement (``placement``), the order of release
-(``release``), the life of a query (``lifecycle``), and the whole (``choice``).
+``Choice`` is its only entry point; ``interface`` defines the settings, events and actions it exchanges. It
+does no input or output and reads no clock. Each module is a layer on the ones before:
+
+- ``estimators``, ``hash_ring``, ``records``, ``state``, ``engine_tracking``, ``query_tracking``: the state,
+  without decisions;
+- ``rules``: the conditions of every attempt;
+- ``health``: which engines are ejected;
+- ``subset``: which engines this router works with;
+- ``placement``: which engine is best for a query;
+- ``release``: which query is sent next;
+- ``lifecycle``: acceptance, retries and final answers;
+- ``choice``: the whole.
 """
 
 from grebeproxy.policy.choice import Choice
--- a/grebeproxy/policy/choice.py
+++ b/grebeproxy/policy/choice.py
@@ -1,88 +1,113 @@
-"""All decisions of one gateway. Its types, events and actions are in ``grebeproxy/policy/interface.py``."""
+"""All decisions of one router. Its types, events and actions are in ``grebeproxy/policy/interface.py``."""
 
 from random import Random
 
 import grebeproxy.policy.interface as api
-from grebeproxy.policy.health import PROBATION
-from grebeproxy.policy.learned import Share
+from grebeproxy.policy.estimators import TenantQuota
+from grebeproxy.policy.health import PROBATION_FAULT_RATE
 from grebeproxy.policy.lifecycle import Lifecycle
-from grebeproxy.policy.placement import BOUND
-from grebeproxy.policy.release import GAP_MARGIN
-from grebeproxy.policy.rules import SLOTS
+from grebeproxy.policy.placement import MAX_THREADS_PER_CORE
+from grebeproxy.policy.release import PRIORITY_GAP_MARGIN
+from grebeproxy.policy.rules import SLOTS_PER_WINDOW
 
-HOMES_OVER, MOST_SETS = 15.0, 1024  # seconds over which loads of a data set are counted, and of how many sets
+DATA_SET_RATE_TIME = 15.0  # seconds over which the rates of data sets and tenants are averaged
+MAX_DATA_SETS = 1024  # data sets whose rates are kept
+SWEEPS_PER_OBJECTIVE = 16  # sweeps in the tightest class's latency objective, while queries are queued
+IDLE_SWEEP_INTERVALS = 4  # intervals between sweeps while none are
 
 
 class Choice(Lifecycle):
-    """The decisions of one gateway; ``handle`` takes what happened and gives what to do."""
+    """The decisions of one router: ``handle`` takes events and returns the actions to carry out."""
 
     def __init__(self, settings: api.Settings, now: float, seed: int) -> None:
-        super().__init__(now, HOMES_OVER, MOST_SETS)
-        self._retune(settings)
-        self.rng = Random(seed + self.many * settings.index)  # told one seed, many would choose alike
+        """Start at clock time ``now``; routers may all be given the same seed."""
+        super().__init__(now, DATA_SET_RATE_TIME, MAX_DATA_SETS)
+        self._apply_settings(settings)
+        # With one seed for all, many routers would make the same choices at the same time.
+        self.random = Random(seed + self.many_routers * settings.index)
         self.watch_at = now if settings.polls_engine_list else float("inf")
 
-    def _retune(self, settings: api.Settings) -> None:
-        """Go by these settings from now on; what was learned stays as far as it means the same."""
-        self.s, self.widest = settings, max(c.threads for c in settings.classes)
-        # Many: one's share of an engine is less than a query, and tells little of what others do there.
-        self.many = settings.balancers * self.widest > BOUND * min(kind.cores for kind in settings.kinds)
-        order = sorted(settings.classes, key=lambda c: (c.latency_objective, c.deadline))  # tightest first
-        self.patience = (
-            sum(c.latency_objective for c in order) / len(order) / 2
-        )  # backlog that is held at full load
-        # This gateway's part of each tenant's allowance; a second deep, and what chance arrivals add to that.
-        parts = {t.name: t.allowance / settings.balancers for t in settings.tenants}
-        self.shared({n: Share(a, 1.0 + a + 2.0 * a**0.5, self.now, HOMES_OVER) for n, a in parts.items()})
-        self.ranked(
-            order,
-            [c.latency_objective * c.threads / (2 + c.objective_stretch) for c in order],
-            settings.kinds,
-        )
-        self.weight = [(self.last - i) / max(1, self.last) for i in range(len(order))]
-        self.gap = GAP_MARGIN * max(1, self.last)  # urgency grows by 1 in the tightest class's deadline
-        self.pause = max(settings.tick, self.tight.latency_objective / 16)
-        own_zone = [(frozenset({settings.zone}), None)] if len(settings.zones) > 1 else []
-        self.seated([*own_zone, *((c.allowed_zones, c.allowed_kinds) for c in order)])
-        self.slot = (settings.rules.overload_time or 1.0) / SLOTS
-
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Take the events of one moment, in order, and decide."""
-        self.now, self.out = now, []
-        if any(self.held) or any(isinstance(event, api.Query) for event in events):
-            self._survey()
+        """Process the events of one moment, in order, and return the actions in theirs."""
+        self.now, self.actions = now, []
+        if any(self.queues) or any(isinstance(event, api.Query) for event in events):
+            self._refresh_engines()
         for event in events:
-            if isinstance(event, api.Query):
-                self._take(event)
-            elif isinstance(event, api.AttemptEnded):
-                self._ended(event)
-            elif isinstance(event, api.EngineList) and event.how is api.ListKind.FAILED:
-                self.watch_at = now + (self.s.rules.list_max_age or 1.0) / 4
-            elif isinstance(event, api.EngineList):
-                self.listed(event)
-            elif isinstance(event, api.ManualOverridesChanged):
-                self.handed(event.engines)
-            elif isinstance(event, api.SettingsChanged):
-                self._retune(event.settings)
-            elif isinstance(event, api.Progress):
-                self.progressed(event)
-            elif isinstance(event, api.HealthCheckEnded) and event.engine in self.nodes:
-                e = self.nodes[event.engine]
-                e.probed(now, event.latency if event.outcome is api.Outcome.OK else float("inf"), self.pause)
-                if e.probe < self.pause and e.ejected_at is not None and not e.unreachable:
-                    e.ejected_at, e.faults, e.slow = None, PROBATION, self.pool
-            elif isinstance(event, api.ClientDisconnected) and event.id in self.jobs:
-                self.close(self.jobs[event.id])
-            if self.refit:
-                self._survey()
+            self._handle_event(event)
+            if self.subset_stale:
+                self._refresh_engines()
         if now >= self.watch_at:
             self.watch_at = float("inf")
-            self.out.append(api.Watch(True))
+            self.actions.append(api.Watch(True))
         if any(isinstance(event, api.TimerFired) for event in events):
-            self.armed = False
+            self.timer_armed = False
             self._sweep()
         self._release()
-        if not self.armed and (self.jobs or self.watch_at < float("inf")):
-            self.armed = True
-            self.out.append(api.SetTimer("sweep", self.pause if any(self.held) else 4 * self.pause))
-        return self.out
+        if not self.timer_armed and (self.queries or self.watch_at < float("inf")):
+            self.timer_armed = True
+            intervals = 1 if any(self.queues) else IDLE_SWEEP_INTERVALS
+            self.actions.append(api.SetTimer("sweep", intervals * self.sweep_interval))
+        return self.actions
+
+    def _handle_event(self, event: api.Event) -> None:
+        """Process one event. Events without a case here need no decision."""
+        match event:
+            case api.Query():
+                self._accept(event)
+            case api.AttemptEnded():
+                self._attempt_ended(event)
+            case api.Progress():
+                self.record_progress(event)
+            case api.HealthCheckEnded():
+                self._health_check_ended(event)
+            case api.ClientDisconnected():
+                if event.id in self.queries:
+                    self.close(self.queries[event.id])
+            case api.EngineList():
+                self._engine_list_received(event)
+            case api.ManualOverridesChanged():
+                self.apply_overrides(event.engines)
+            case api.SettingsChanged():
+                self._apply_settings(event.settings)
+
+    def _engine_list_received(self, event: api.EngineList) -> None:
+        """Apply the list; after a failed poll ask again well before the list grows too old."""
+        if event.how is api.ListKind.FAILED:
+            self.watch_at = self.now + (self.settings.rules.list_max_age or 1.0) / 4
+        else:
+            self.apply_engine_list(event)
+
+    def _health_check_ended(self, event: api.HealthCheckEnded) -> None:
+        """Record a health check; a quick answer takes an ejected engine back, on probation."""
+        engine = self.engines.get(event.engine)
+        if engine is None:
+            return
+        latency = event.latency if event.outcome is api.Outcome.OK else float("inf")
+        quick = latency < self.sweep_interval
+        engine.record_health_check(self.now, latency, quick)
+        if quick and engine.ejected_at is not None and not engine.unreachable:
+            engine.ejected_at, engine.fault_rate = None, PROBATION_FAULT_RATE
+            engine.slowdown = self.fleet_slowdown
+
+    def _apply_settings(self, settings: api.Settings) -> None:
+        """Use these settings from now on; keep what was learned where it still means the same."""
+        self.settings = settings
+        self.max_class_threads = max(cls.threads for cls in settings.classes)
+        # With many routers, one's share of an engine is less than a query, and its own attempts tell little
+        # of what the others do there.
+        smallest = min(kind.cores for kind in settings.kinds)
+        self.many_routers = settings.balancers * self.max_class_threads > MAX_THREADS_PER_CORE * smallest
+        classes = sorted(settings.classes, key=lambda cls: (cls.latency_objective, cls.deadline))
+        self.max_backlog = sum(cls.latency_objective for cls in classes) / len(classes) / 2
+        rates = {tenant.name: tenant.allowance / settings.balancers for tenant in settings.tenants}
+        self.set_quotas({t: TenantQuota(rate, self.now, DATA_SET_RATE_TIME) for t, rate in rates.items()})
+        # Work at which a query takes half of its objective or less.
+        work = [c.latency_objective * c.threads / (2 + c.objective_stretch) for c in classes]
+        self.set_classes(classes, work, settings.kinds)
+        ranks = range(len(classes))
+        self.rank_weight = [(self.lowest_rank - rank) / max(1, self.lowest_rank) for rank in ranks]
+        self.priority_gap = PRIORITY_GAP_MARGIN * max(1, self.lowest_rank)
+        self.sweep_interval = max(settings.tick, self.min_objective / SWEEPS_PER_OBJECTIVE)
+        own_zone = [(frozenset({settings.zone}), None)] if len(settings.zones) > 1 else []
+        self.set_positions([*own_zone, *((cls.allowed_zones, cls.allowed_kinds) for cls in classes)])
+        self.warmup_slot_time = (settings.rules.overload_time or 1.0) / SLOTS_PER_WINDOW
--- a/grebeproxy/policy/health.py
+++ b/grebeproxy/policy/health.py
@@ -1,114 +1,155 @@
-"""The health of engines: which are left out, and what outcomes tell."""
+"""The health of engines: which of them get no queries, and what is learned from the ends of attempts."""
 
 from grebeproxy.policy.interface import AttemptEnded, Idempotency, Outcome
-from grebeproxy.policy.records import Job, Node
+from grebeproxy.policy.records import EngineRecord, QueryRecord
 from grebeproxy.policy.rules import Rules
 
-FAULTY = 0.3  # share of failing attempts, above twice the fleet's own, that ejects an engine
-PROBATION = 0.75 * FAULTY  # left to an engine that serves again: its next fault ejects it
-KEEP, MOST_BILL = 0.98, 8  # weight kept by earlier bills at each new one, and its most over the estimate
-BAD = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
+EJECTION_FAULT_RATE = 0.3  # rate of failing attempts, above twice the fleet's own, that ejects an engine
+PROBATION_FAULT_RATE = 0.75 * EJECTION_FAULT_RATE  # of an engine taken back: its next fault ejects it
+MAX_BACKOFF_OBJECTIVES = 8  # longest ejection, in latency objectives of the tightest class
+BACKOFF_RECOVERY = 0.9  # factor on the ejection's backoff for each success
+COST_RETENTION = 0.98  # weight that earlier reports of cost keep at each new one
+MAX_COST_RATIO = 8  # most that a reported cost counts, over its estimate
+MAX_SLOWDOWN = 10.0  # most that one attempt's latency counts, in its run times
+FAULT_OUTCOMES = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
 
 
 class Health(Rules):
-    """The health of engines: which are left out, and what outcomes tell."""
-
-    def _open(self, e: Node, rank: int) -> bool:
-        """Ejected engines get single trials, of what may be repeated and is short."""
-        return (
-            self.now >= e.shut_until
-            if e.ejected_at is None
-            else (
-                self.now >= e.trial_at
-                and not e.out
-                and not rank
-                and self.tight.idempotency is Idempotency.IDEMPOTENT
-            )
-        )
-
-    def _eject(self, e: Node, proven: bool = False) -> None:
-        """Stop sending to an engine; a trouble common to most ejects nobody, so that the rest don't drown."""
-        able = sum(n.ejected_at is None for n in self.up)
-        if not proven and e.ejected_at is None and 2 * able <= len(self.up) + 1:
+    """The health of engines: which of them get no queries, and what is learned from attempts."""
+
+    def _accepts_queries(self, engine: EngineRecord, rank: int) -> bool:
+        """True if the engine takes queries of this rank; an ejected one gets single idempotent trials."""
+        if engine.ejected_at is None:
+            return self.now >= engine.closed_until
+        if self.now < engine.trial_at or engine.in_flight or rank:
+            return False
+        return self.tightest_class.idempotency is Idempotency.IDEMPOTENT
+
+    def _eject(self, engine: EngineRecord, proven: bool = False) -> None:
+        """Stop sending to an engine, and cancel its attempts where a retry may end sooner.
+
+        Unproven faults of most engines have a common cause, and ejecting these would overload the rest.
+        """
+        healthy = sum(other.ejected_at is None for other in self.usable_engines)
+        if not proven and engine.ejected_at is None and 2 * healthy <= len(self.usable_engines) + 1:
             return
-        e.backoff = min(8 * self.tight.latency_objective, e.backoff * 2) or self.tight.latency_objective / 2
-        e.ejected_at, e.trial_at = self.now, self.now + e.backoff * (0.75 + 0.5 * self.rng.random())
-        for job in e.out.values() if self.s.may_cancel else ():
-            if not (job.cancelled or job.answered or job.cls.idempotency is Idempotency.NON_IDEMPOTENT) and (
-                job.attempts < self.s.max_attempts
-            ):
-                self.cancel(job)
-
-    def _count(self, e: Node, bad: bool) -> None:
-        """Take one outcome into the share of faults, the engine's and the fleet's."""
-        e.faults += 0.25 * (bad - e.faults)
-        self.faults += 0.02 * (bad - self.faults)
-
-    def _faulty(self, e: Node) -> bool:
-        """Its share of faults stands out from the fleet's."""
-        return e.faults > FAULTY + 2 * self.faults
-
-    def _judge(self, e: Node, job: Job, ev: AttemptEnded) -> None:
-        """Learn from an outcome: faults, speed, cost and memory."""
-        ok = ev.outcome is Outcome.OK
-        # A time-out at an engine that has answered others since is load, not a fault of the engine.
-        bad = ev.outcome in BAD and (ev.outcome is not Outcome.TIMEOUT or e.heard <= job.sent)
-        if ev.outcome is Outcome.RESET:
-            # One connection that ends takes all that was out on it: one fault, not as many as were out.
-            bad = job.sent > e.broke_at
-            e.broke_at = self.now if bad else e.broke_at
-        if ok or ev.outcome in (Outcome.ERROR, Outcome.FULL):
-            e.heard, e.still = self.now, 0
-        if ev.outcome is Outcome.FULL:
-            # One that refuses at once would look idle: nothing goes there for a doubling while.
-            e.shut = min(self.tight.latency_objective, 2 * e.shut) or self.pause
-            e.shut_until, e.full_until = self.now + e.shut, self.now + e.shut + self.tight.latency_objective
-        # Guards against queries that none can use: an error counts once another has answered, or none is to.
-        first, job.erred = job.erred, None
-        if ev.outcome is Outcome.ERROR and e.ejected_at is None and not job.answered:
-            if first is None and self._repeatable(job) and job.attempts < self.s.max_attempts:
-                job.erred = e
-            bad = bad and job.erred is None and first in (None, e)
-        elif ok and first is not None and first is not e:
-            self._count(first, True)
-            if self._faulty(first):
+        longest = MAX_BACKOFF_OBJECTIVES * self.min_objective
+        engine.ejection_backoff = min(longest, engine.ejection_backoff * 2) or self.min_objective / 2
+        engine.ejected_at = self.now
+        engine.trial_at = self.now + engine.ejection_backoff * (0.75 + 0.5 * self.random.random())
+        for query in engine.in_flight.values() if self.settings.may_cancel else ():
+            if query.cancelled or query.answered or query.cls.idempotency is Idempotency.NON_IDEMPOTENT:
+                continue
+            if query.attempts < self.settings.max_attempts:
+                self.cancel(query)
+
+    def _record_fault(self, engine: EngineRecord, fault: bool) -> None:
+        """Add one outcome to the moving averages of faults, the engine's and the fleet's."""
+        engine.fault_rate += 0.25 * (fault - engine.fault_rate)
+        self.fault_rate += 0.02 * (fault - self.fault_rate)
+
+    def _is_outlier(self, engine: EngineRecord) -> bool:
+        """True if the engine's rate of faults stands out from the fleet's."""
+        return engine.fault_rate > EJECTION_FAULT_RATE + 2 * self.fault_rate
+
+    def _learn(self, engine: EngineRecord, query: QueryRecord, ended: AttemptEnded) -> None:
+        """Learn from the end of an attempt: faults, latency, cost and memory."""
+        ok = ended.outcome is Outcome.OK
+        fault = self._is_fault(engine, query, ended.outcome)
+        if ok or ended.outcome in (Outcome.ERROR, Outcome.FULL):
+            engine.heard_at, engine.stalled_queries = self.now, 0
+        if ended.outcome is Outcome.FULL:
+            self._back_off_full(engine)
+        fault = self._attribute_error(engine, query, ended.outcome, fault)
+        if fault or ok:
+            self._record_fault(engine, fault)
+        if ended.outcome is Outcome.CONNECT_FAILED:
+            engine.unreachable = True
+            self._eject(engine, proven=True)
+        elif fault and engine.ejected_at is None:
+            if self._is_outlier(engine):
+                self._eject(engine)
+        elif fault and query.sent_at > (engine.ejected_at or 0.0):
+            self._eject(engine)  # a trial failed; attempts sent before the ejection do not prolong it
+        self._learn_latency(engine, query, ended)
+        if ok:
+            self._record_recovery(engine, query)
+            self._learn_cost(engine, query, ended)
+
+    def _is_fault(self, engine: EngineRecord, query: QueryRecord, outcome: Outcome) -> bool:
+        """True if the outcome counts as a fault of the engine."""
+        if outcome is Outcome.RESET:
+            return engine.record_reset(query.sent_at, self.now)
+        if outcome is Outcome.TIMEOUT:
+            # An engine that has answered others since is loaded, not faulty.
+            return engine.heard_at <= query.sent_at
+        return outcome in FAULT_OUTCOMES
+
+    def _back_off_full(self, engine: EngineRecord) -> None:
+        """Send nothing for a doubling time: an engine that rejects at once would look idle otherwise."""
+        engine.full_backoff = min(self.min_objective, 2 * engine.full_backoff) or self.sweep_interval
+        engine.closed_until = self.now + engine.full_backoff
+        engine.full_until = self.now + engine.full_backoff + self.min_objective
+
+    def _attribute_error(
+        self, engine: EngineRecord, query: QueryRecord, outcome: Outcome, fault: bool
+    ) -> bool:
+        """Tell whether the attempt counts as a fault; an error does so only once a retry has decided it.
+
+        Some queries fail at every engine. So the first error counts against its engine when another engine
+        answers the query, or at once if there will be no retry.
+        """
+        first, query.error_engine = query.error_engine, None
+        if outcome is Outcome.ERROR and engine.ejected_at is None and not query.answered:
+            retried = self._may_retry(query) and query.attempts < self.settings.max_attempts
+            if first is None and retried:
+                query.error_engine = engine
+            return fault and query.error_engine is None and first in (None, engine)
+        if outcome is Outcome.OK and first is not None and first is not engine:
+            self._record_fault(first, True)
+            if self._is_outlier(first):
                 self._eject(first)
-        if bad or ok:
-            self._count(e, bad)
-        if ev.outcome is Outcome.CONNECT_FAILED:
-            e.unreachable = True
-            self._eject(e, proven=True)
-        elif bad and (self._faulty(e) if e.ejected_at is None else job.sent > e.ejected_at):
-            self._eject(e)  # again only for a trial that failed, not for what was out before
-        # Weighted by run time: short queries have priority in the engine and tell little of its crowding.
-        run = ev.work / job.cls.threads if ev.work else job.run
-        weight, took = (
-            min(0.5, max(0.02, run / self.tight.latency_objective / 4)),
-            min(10.0, ev.latency / max(run, 1e-4)),
-        )
-        slow = took * self._warmth(e)  # a cold one is slow without being crowded
-        if ok or slow > self.paces[self._warming_up(e)]:  # an error comes soon
-            self.paces[self._warming_up(e)] += weight * (slow - self.paces[self._warming_up(e)])
-        if ev.outcome is Outcome.CANCELLED and job.cancelled and not job.answered:
-            if not job.cls.waits_for_loads:  # one may be badly planned, several tell of a jam
-                self.crowd += weight * max(0.0, slow - self.crowd)
-            return  # called off for a fresh attempt: that says nothing of the engine
-        if not ok:  # what was given up tells of a jam too, where answers are few
-            e.slow += weight * max(0.0, slow - e.slow)
+        return fault
+
+    def _learn_latency(self, engine: EngineRecord, query: QueryRecord, ended: AttemptEnded) -> None:
+        """Update the averages of latency over run time: the engine's, the class's and the fleet's."""
+        ok = ended.outcome is Outcome.OK
+        # Weighted by run time: short queries have priority in the engine and tell little of its load.
+        run_time = ended.work / query.cls.threads if ended.work else query.run_time
+        weight = min(0.5, max(0.02, run_time / self.min_objective / 4))
+        ratio = min(MAX_SLOWDOWN, ended.latency / max(run_time, 1e-4))
+        slowdown = ratio * self._warmup_capacity(engine)  # a warming engine is slow without being loaded
+        warming = self._warming_up(engine)
+        if ok or slowdown > self.slowdown_by_warming[warming]:  # errors come early and only raise it
+            self.slowdown_by_warming[warming] += weight * (slowdown - self.slowdown_by_warming[warming])
+        if ended.outcome is Outcome.CANCELLED and query.cancelled and not query.answered:
+            # Cancelled for a fresh attempt: one query may have a bad plan, but several show overload.
+            if not query.cls.waits_for_loads:
+                self.lasting_slowdown += weight * max(0.0, slowdown - self.lasting_slowdown)
             return
-        if e.ejected_at is not None and job.sent >= e.ejected_at:
-            e.ejected_at, e.faults = None, PROBATION  # on probation: the next fault ejects it again
-            if e.unreachable and not self._warming_up(e):
-                e.cold_since = self.now  # it was down: take it for cold, whatever the list says
-            e.unreachable = False
-        e.backoff, e.shut = max(self.tight.latency_objective / 2, e.backoff * 0.9) if e.backoff else 0.0, 0.0
-        if ev.work:
-            self.usual[job.rank] += 0.03 * (ev.work - self.usual[job.rank])
-        self.billed(job, ev.work, ev.memory_mb, KEEP, MOST_BILL)
-        if job.query.data_set is not None and job.cls.waits_for_loads:
-            e.held_until.pop(job.query.data_set, None)
-        e.slow += weight * (slow - e.slow)
-        self.pool += weight * (slow - self.pool)
-        self.crowd += weight * (slow - self.crowd)  # not fading: its bound leaves work to learn from
-        self.pools[job.rank] += 0.1 * (took - self.pools[job.rank])
-        e.best = max(1.0, min(e.best + 0.002 * weight * (e.slow - e.best), e.slow))
+        if not ok:  # failed attempts show overload too, where there are few answers
+            engine.slowdown += weight * max(0.0, slowdown - engine.slowdown)
+            return
+        engine.slowdown += weight * (slowdown - engine.slowdown)
+        self.fleet_slowdown += weight * (slowdown - self.fleet_slowdown)
+        # Does not fade by time: the bound that goes by it lets enough through to learn from.
+        self.lasting_slowdown += weight * (slowdown - self.lasting_slowdown)
+        self.class_slowdown[query.rank] += 0.1 * (ratio - self.class_slowdown[query.rank])
+        best = engine.best_slowdown + 0.002 * weight * (engine.slowdown - engine.best_slowdown)
+        engine.best_slowdown = max(1.0, min(best, engine.slowdown))
+
+    def _record_recovery(self, engine: EngineRecord, query: QueryRecord) -> None:
+        """Take an ejected engine back after a successful trial, and shorten its backoffs."""
+        if engine.ejected_at is not None and query.sent_at >= engine.ejected_at:
+            engine.record_recovery(self.now, PROBATION_FAULT_RATE, self._warming_up(engine))
+        if engine.ejection_backoff:
+            engine.ejection_backoff = max(self.min_objective / 2, engine.ejection_backoff * BACKOFF_RECOVERY)
+        engine.full_backoff = 0.0
+
+    def _learn_cost(self, engine: EngineRecord, query: QueryRecord, ended: AttemptEnded) -> None:
+        """Learn the work and memory of a successful attempt; its data set is not locked there."""
+        if ended.work:
+            self.typical_work[query.rank] += 0.03 * (ended.work - self.typical_work[query.rank])
+        self.learn_costs(query, ended, COST_RETENTION, MAX_COST_RATIO)
+        if query.request.data_set is not None and query.cls.waits_for_loads:
+            engine.locked_until.pop(query.request.data_set, None)
--- a/grebeproxy/policy/lifecycle.py
+++ b/grebeproxy/policy/lifecycle.py
@@ -1,148 +1,191 @@
-"""The life of a query: taken, given up, called off, ended."""
+"""The life of a query: accepted, retried, cancelled, rejected, ended."""
 
-from grebeproxy.policy.interface import AttemptEnded, Idempotency, Fail, Outcome, Query, Reject, Scope
-from grebeproxy.policy.placement import MOSTLY_OWN_CHOICE, PATIENCE
-from grebeproxy.policy.records import Job, Node
+from grebeproxy.policy.interface import AttemptEnded, Fail, Idempotency, Outcome, Query, Reject, Scope
+from grebeproxy.policy.placement import MOSTLY_OWN_CHOICE, SILENCE_FACTOR
+from grebeproxy.policy.records import EngineRecord, Estimate, QueryRecord
 from grebeproxy.policy.release import Release
 
-FEWEST_ENGINES_TO_CHOOSE = 2  # with fewer engines able there is no other one for a fresh attempt
-STILLS = 4  # queries in a row that stood still at an engine, and nothing heard of it, make it suspect
-MUTE = 2.0  # and the silence, in aims of the tightest class: loads can hold all that is asked of an engine
-STILL = 0.3  # part of its aim after which a query is taken to stand still, or to be badly planned
-OVER = 3.0  # and so many expected run times: where engines are slow a fresh attempt would be as well
+FEWEST_ENGINES_TO_CHOOSE = 2  # with fewer healthy engines there is no other one for a fresh attempt
+STALLS_TO_SUSPECT = 4  # stalled queries in a row, with silence, that make an engine suspect
+SUSPECT_SILENCE = 2.0  # that silence, in objectives of the tightest class, as loads can lock all data sets
+STALL_FRACTION = 0.3  # part of its objective after which a query counts as stalled or badly planned
+STALL_RUN_TIMES = 3.0  # and expected run times: where engines are slow a fresh attempt would be slow too
+DEADLINE_TOLERANCE = 0.005  # difference of deadlines, as a part, that is taken for none
+MAX_WORK_RATIO = 8  # most that one estimate of work counts, over the typical work of its class
+MIN_WORK = 1e-4  # core-seconds
+SWEEPS_BEFORE_DEADLINE = 6  # sweep intervals before its deadline at which a query is rejected at the latest
+UNSERVED_STRETCH = 2.0  # stretch of an objective's work part after which a late answer is of no use
+STALLED_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # the attempt may run on
 
 
 class Lifecycle(Release):
-    """The life of a query: taken, given up, called off, ended."""
+    """The life of a query: accepted, retried, cancelled, rejected, ended."""
 
-    def _take(self, q: Query) -> None:
-        if q.cls not in self.rank or q.id in self.jobs:
+    def _accept(self, request: Query) -> None:
+        """Queue a new query; reject it at once if it cannot be of use, or is over quota and would wait."""
+        if request.cls not in self.class_rank or request.id in self.queries:
             return
-        cls, rank, began = self.order[self.rank[q.cls]], self.rank[q.cls], self.now
-        if self.s.rules.attempt_budget is not None:
-            self.taken.add(self.now)
-        if not self.first_left.agrees((q.due - self.now) / cls.deadline, 0.005) or q.is_client_retry:
-            began = min(began, q.due - cls.deadline)  # a repeat: its aim began with the client's first try
-        self.seen[rank] += 1
-        if q.work and not self.costs[rank].estimated:  # until answers bill, the mean estimate stands
-            # Bounded: one estimate of an hour must not change what is thought of all others.
-            self.usual[rank] += (min(q.work, 8 * self.usual[rank]) - self.usual[rank]) / self.seen[rank]
-        work = self.costs[rank].correct(q.work) if q.work else self.usual[rank]
-        memory = self.memories[rank].correct(q.memory_mb) if q.memory_mb else 0.0
-        self.counted(q, cls, min(work, 8 * self.usual[rank]))
-        job = self.jobs[q.id] = Job(q, cls, rank, began, max(work, 1e-4), memory, self.draw())
-        if q.tenant in self.shares:  # a repeat spends nothing: its first try did, or was past the share
-            spent = (began == self.now and not q.is_client_retry) / self.part
-            job.over_quota = not self.shares[q.tenant].take(self.now, spent)
-        if cls.ordered_by_key and q.key is not None:
-            job.turn = self.turns[q.key]
-            job.turn.append(job)
-        crowded = self._load() > 0
-        self.held[rank].append(job)
-        if not self._priority_weight(job) or (job.over_quota and crowded):
-            self._give_up(job)  # traffic past a tenant's share goes first when others would wait
-
-    def _give_up(self, job: Job) -> None:
-        """The final answer, at once: a refusal where that may be promised to be harmless."""
-        cls, most = job.cls, self.s.max_retry_after
-        if job.node is not None and self.s.may_cancel and not job.cancelled:
-            self.cancel(job)
-        if (
-            cls.idempotency is Idempotency.IDEMPOTENT
-            or (job.ran_at is None and job.node is None)
-            or (cls.idempotency is Idempotency.IDEMPOTENCY_KEY and cls.scope is Scope.ALL)
-        ):
-            wait = None if most is None else min(most, self.backlog() + self.tight.latency_objective)
-            self.out.append(Reject(job.id, wait))
+        rank = self.class_rank[request.cls]
+        cls = self.classes[rank]
+        if self.settings.rules.attempt_budget is not None:
+            self.recent_queries.add(self.now)
+        arrived_at = self._arrival_time(request, cls.deadline)
+        work = self._estimate_work(request, rank)
+        memory = self.memory_corrections[rank].correct(request.memory_mb) if request.memory_mb else 0.0
+        self.count_query(request, cls, min(work, MAX_WORK_RATIO * self.typical_work[rank]))
+        query = QueryRecord(request, cls, rank, arrived_at, Estimate(max(work, MIN_WORK), memory))
+        query.random_draw = self.draw_if_many()
+        self.queries[query.id] = query
+        if request.tenant in self.quotas:
+            # A client's retry spends nothing: its first attempt did, or was over quota.
+            spent = (arrived_at == self.now and not request.is_client_retry) / self.traffic_ratio
+            query.over_quota = not self.quotas[request.tenant].take(self.now, spent)
+        if cls.ordered_by_key and request.key is not None:
+            query.key_queue = self.key_queues[request.key]
+            query.key_queue.append(query)
+        loaded = self._load_factor() > 0
+        self.queues[rank].append(query)
+        if not self._priority_weight(query) or (query.over_quota and loaded):
+            self._reject_or_fail(query)
+
+    def _arrival_time(self, request: Query, deadline: float) -> float:
+        """When the client's first attempt came: a retry has less than the usual part of its deadline left."""
+        left = (request.due - self.now) / deadline
+        if not self.usual_deadline_fraction.agrees(left, DEADLINE_TOLERANCE) or request.is_client_retry:
+            return min(self.now, request.due - deadline)
+        return self.now
+
+    def _estimate_work(self, request: Query, rank: int) -> float:
+        """Core-seconds that a query will take, by its own estimate if it has one; counts it in its class."""
+        self.class_counts[rank] += 1
+        if not request.work:
+            return self.typical_work[rank]
+        if not self.work_corrections[rank].estimated:
+            # Until engines report work, typical work is the mean estimate; one extreme estimate is bounded.
+            typical = self.typical_work[rank]
+            change = min(request.work, MAX_WORK_RATIO * typical) - typical
+            self.typical_work[rank] += change / self.class_counts[rank]
+        return self.work_corrections[rank].correct(request.work)
+
+    def _reject_or_fail(self, query: QueryRecord) -> None:
+        """Give the final answer: a rejection where a retry by the client is sure to be harmless."""
+        cls, longest = query.cls, self.settings.max_retry_after
+        if query.engine is not None and self.settings.may_cancel and not query.cancelled:
+            self.cancel(query)
+        never_ran = query.first_ran_at is None and query.engine is None
+        keyed = cls.idempotency is Idempotency.IDEMPOTENCY_KEY and cls.scope is Scope.ALL
+        if never_ran or keyed or cls.idempotency is Idempotency.IDEMPOTENT:
+            retry_after = None if longest is None else min(longest, self.backlog() + self.min_objective)
+            self.actions.append(Reject(query.id, retry_after))
         else:
-            self.out.append(Fail(job.id))
-        self.close(job)
-
-    def _priority_weight(self, job: Job) -> float:
-        """What the query still earns for a core-second if it is sent now."""
-        ahead = sum(o.run for o in job.turn[: job.turn.index(job)]) if job.turn else 0.0
-        finish = self.now + (job.run + ahead) * self.pools[job.rank]
-        if max(finish, self.now + 6 * self.pause) > job.due:  # the sweep must still come round in time
+            self.actions.append(Fail(query.id))
+        self.close(query)
+
+    def _priority_weight(self, query: QueryRecord) -> float:
+        """Value of the query for a core-second if it is sent now; 0 if it would come too late."""
+        ahead = 0.0
+        if query.key_queue:
+            before = query.key_queue[: query.key_queue.index(query)]
+            ahead = sum(other.run_time for other in before)
+        finish = self.now + (query.run_time + ahead) * self.class_slowdown[query.rank]
+        # The sweep must still come round before the deadline to reject it.
+        if max(finish, self.now + SWEEPS_BEFORE_DEADLINE * self.sweep_interval) > query.due:
             return 0.0
-        late = 1.0 if finish <= job.objective_at() else job.cls.late_weight_factor
-        return (
-            late * job.cls.priority_weight * (self.s.over_quota_weight if job.over_quota else 1.0) / job.work
-        )
+        late = 1.0 if finish <= query.objective_at() else query.cls.late_weight_factor
+        quota_factor = self.settings.over_quota_weight if query.over_quota else 1.0
+        return late * query.cls.priority_weight * quota_factor / query.work
 
     def _sweep(self) -> None:
-        """On the timer: silent engines, what has lost its worth, and what is too much to hold."""
-        for e in [e for e in self.nodes.values() if e.out or e.still]:
-            # What may stand still behind a load tells nothing by itself, several of it in a row do.
-            silent = (
-                self.now - max(e.heard, j.sent) > j.patience
-                for j in e.out.values()
-                if not j.cls.waits_for_loads
-            )
-            if e.ejected_at is None and (
-                any(silent)
-                or (e.still >= STILLS and self.now - e.heard > MUTE * self.tight.latency_objective)
-            ):
-                self._eject(e)
-            for job in list(e.out.values()) if self.s.may_cancel else ():
-                if not job.answered and not job.cls.late_weight_factor and self.now > job.objective_at(2.0):
-                    self._give_up(job)  # nobody is served by it any more
-                elif not (job.answered or job.cancelled) and self._stuck(job, e):
-                    self.cancel(job)
-        for job in [job for queue in self.held for job in queue]:
-            if not self._priority_weight(job):
-                self._give_up(job)
-        self.forget()
-        if self._load() > 0:  # too much is held: what earns least for its work goes first
-            for job in sorted(self.ready(), key=self._priority_weight):
-                if self.backlog() <= self.patience:
+        """On the timer: eject silent engines, cancel stalled attempts, and reject what is of no use."""
+        for engine in [e for e in self.engines.values() if e.in_flight or e.stalled_queries]:
+            if engine.ejected_at is None and self._is_silent(engine):
+                self._eject(engine)
+            if self.settings.may_cancel:
+                self._sweep_attempts(engine)
+        for query in [query for queue in self.queues for query in queue]:
+            if not self._priority_weight(query):
+                self._reject_or_fail(query)
+        self.prune_keys()
+        self.prune_engines()
+        if self._load_factor() > 0:  # beyond the allowed backlog the least valuable work goes first
+            for query in sorted(self.releasable(), key=self._priority_weight):
+                if self.backlog() <= self.max_backlog:
                     break
-                self._give_up(job)
-
-    def _stuck(self, job: Job, e: Node) -> bool:
-        """A fresh attempt is to end sooner: guards against bad plans, answers lost and engines stuck."""
-        if (
-            not (job.ran_at is None or self._repeatable(job))
-            or job.cls.idempotency is Idempotency.NON_IDEMPOTENT
-            or (
-                job.attempts >= self.s.max_attempts
-                or not self._priority_weight(job)
-                or not self._extra_left()
-            )
-        ):
+                self._reject_or_fail(query)
+
+    def _is_silent(self, engine: EngineRecord) -> bool:
+        """True if nothing was heard of an engine for too long.
+
+        A single query that waits for loads tells nothing by its silence; several in a row do.
+        """
+        for query in engine.in_flight.values():
+            silence = self.now - max(engine.heard_at, query.sent_at)
+            if not query.cls.waits_for_loads and silence > query.silence_limit:
+                return True
+        stalled = engine.stalled_queries >= STALLS_TO_SUSPECT
+        return stalled and self.now - engine.heard_at > SUSPECT_SILENCE * self.min_objective
+
+    def _sweep_attempts(self, engine: EngineRecord) -> None:
+        """Give up attempts in flight that are too late to be of use, and cancel stalled ones."""
+        for query in list(engine.in_flight.values()):
+            useless_at = query.objective_at(UNSERVED_STRETCH)
+            if not query.answered and not query.cls.late_weight_factor and self.now > useless_at:
+                self._reject_or_fail(query)
+            elif not (query.answered or query.cancelled) and self._should_restart(query, engine):
+                self.cancel(query)
+
+    def _should_restart(self, query: QueryRecord, engine: EngineRecord) -> bool:
+        """True if a fresh attempt is allowed and likely to end sooner than a stalled or badly planned one."""
+        if not self._may_restart(query):
             return False
-        if self.s.progress_period:  # its own notes tell; a jam slows a fresh one too
-            return job.ends_at - self.now > PATIENCE * job.run * max(1.0, self.pools[job.rank], e.slow)
-        if (
-            job.cls.locks_data_set or len(self.able) < FEWEST_ENGINES_TO_CHOOSE
-        ):  # it may wait for another load
-            return self.alike < MOSTLY_OWN_CHOICE and self.now - job.sent > PATIENCE * job.expected
-        # Guards against standing still behind a load, whosever, and against bad plans, drawn anew each time.
-        expected = job.run * max(1.0, e.slow, self.pool) / self._warmth(e)
-        if self.now - job.sent <= max(STILL * (job.objective_at() - job.began), OVER * expected):
+        waited = self.now - query.sent_at
+        if self.settings.progress_period:  # compared with a fresh attempt on engines as slow as these
+            fresh = max(1.0, self.class_slowdown[query.rank], engine.slowdown)
+            return query.predicted_end - self.now > SILENCE_FACTOR * query.run_time * fresh
+        if query.cls.locks_data_set or len(self.healthy_engines) < FEWEST_ENGINES_TO_CHOOSE:
+            # A load may be waiting for another load.
+            own_choice = self.peer_similarity < MOSTLY_OWN_CHOICE
+            return own_choice and waited > SILENCE_FACTOR * query.expected_latency
+        slowdown = max(1.0, engine.slowdown, self.fleet_slowdown)
+        expected = query.run_time * slowdown / self._warmup_capacity(engine)
+        objective = query.objective_at() - query.arrived_at
+        if waited <= max(STALL_FRACTION * objective, STALL_RUN_TIMES * expected):
             return False
-        e.still += 1
-        if job.cls.waits_for_loads and job.query.data_set is not None:
-            e.hold(job.query.data_set, self.now, self.now + self.hold)  # what follows keeps away a while
+        engine.stalled_queries += 1
+        if query.cls.waits_for_loads and query.request.data_set is not None:
+            # A load, perhaps another router's, locks the data set: later queries avoid the engine.
+            engine.lock_data_set(query.request.data_set, self.now, self.now + self.load_lock_time)
         return True
 
-    def _ended(self, ev: AttemptEnded) -> None:
-        job, e = self.jobs.get(ev.id), self.nodes.get(ev.engine)
-        if job is None or e is None or job.node is not e or ev.attempt != job.attempts - 1:
+    def _may_restart(self, query: QueryRecord) -> bool:
+        """True if a fresh attempt is harmless, within the limits of attempts, and still of use."""
+        if query.cls.idempotency is Idempotency.NON_IDEMPOTENT or not self._may_retry(query):
+            return False
+        if query.attempts >= self.settings.max_attempts:
+            return False
+        return bool(self._priority_weight(query)) and self._retry_budget_left()
+
+    def _attempt_ended(self, ended: AttemptEnded) -> None:
+        """Learn from the end of an attempt, then retry the query, give its final answer, or drop it."""
+        query, engine = self.queries.get(ended.id), self.engines.get(ended.engine)
+        if query is None or engine is None or query.engine is not engine:
+            return  # like the next, of an attempt that is over
+        if ended.attempt != query.attempts - 1:
+            return
+        engine.record_end(query)
+        engine.reported_fill = (ended.report or {}).get("memory_granted", engine.reported_fill)
+        self._learn(engine, query, ended)
+        if not ended.outcome.never_ran and query.first_ran_at is None:
+            query.first_ran_at, query.first_ran_on = query.sent_at, engine
+        if ended.outcome in STALLED_OUTCOMES and query.request.key is not None:
+            self.key_settled_at[query.request.key] = self.now + self.settings.rules.key_settle_time
+        query.last_engine = engine
+        if ended.settled or query.answered:
+            self.close(query)
             return
-        e.detach(job)
-        e.reported = (ev.report or {}).get("memory_granted", e.reported)
-        self._judge(e, job, ev)
-        if not ev.outcome.never_ran and job.ran_at is None:
-            job.ran_at, job.ran_on = job.sent, e
-        if ev.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED) and job.query.key is not None:
-            self.rest[job.query.key] = self.now + self.s.rules.key_settle_time
-        job.avoid = e
-        if ev.settled or job.answered:
-            self.close(job)
-        elif (
-            not self._repeatable(job) or job.attempts >= self.s.max_attempts or not self._priority_weight(job)
-        ):
-            self._give_up(job)
+        retries_left = query.attempts < self.settings.max_attempts
+        if self._may_retry(query) and retries_left and self._priority_weight(query):
+            query.random_draw = self.draw_if_many()
+            self.queues[query.rank].insert(0, query)
         else:
-            job.draw = self.draw()
-            self.held[job.rank].insert(0, job)
+            self._reject_or_fail(query)
--- a/grebeproxy/policy/placement.py
+++ b/grebeproxy/policy/placement.py
@@ -1,135 +1,182 @@
-"""Placement: on which engine there is room for a query, and what each would cost it."""
+"""Placement: which engines have capacity for a query, and what each of them would cost it."""
 
 import zlib
 from math import exp
 
-from grebeproxy.policy.dealing import agreed
+from grebeproxy.policy.hash_ring import agreed_order
 from grebeproxy.policy.interface import HealthCheck
-from grebeproxy.policy.records import Job, Node
-from grebeproxy.policy.rules import PART, WARY
+from grebeproxy.policy.records import EngineRecord, QueryRecord
+from grebeproxy.policy.rules import HEAVY_QUERIES_PER_UNIT, UNSEEN_WORK_FACTOR
 from grebeproxy.policy.subset import Subset
 
-BOUND, LONG = 2.0, 0.75  # threads per core under pressure; part of them at which long classes stop
-PRESSURE = 1.4  # an engine shows pressure when its latency is this many times its best
-UNCACHED_DATA_SET_COST = 0.75  # threads per core that a data set read afresh is worth in the choice of engine
-PATIENCE = 4.0  # an engine that has been silent for this many expected run times is suspect
-BARRED = 6.0  # threads per core that a load which holds the data set is worth to what waits for loads
-HOME_FILL = 0.9  # part of the time that loads hold a data set at each of its home engines
-OWN = 1.5  # threads per core over which a gateway's preference among home engines goes
-BEYOND_HOME_COST = 7.0  # threads per core that each place beyond the home engines is worth to a load
-HEALTH_CHECKS_PER_LONG_QUERY = 3  # engines probed before a long query goes to one of them
-MOSTLY_OWN_CHOICE = 0.5  # below this share of routers that choose alike, a router's choice is mostly its own
+# Costs below are in threads per core of the engine.
+MAX_THREADS_PER_CORE = 2.0  # limit of an engine under pressure
+LONG_CLASS_FRACTION = 0.75  # part of that limit that long classes may use
+PRESSURE_RATIO = 1.4  # an engine is under pressure when its latency is this many times its best
+MAX_COSTED_SLOWDOWN = 4.0  # most that an engine's slowdown counts in its cost
+UNCACHED_DATA_SET_COST = 0.75  # cost of reading a data set that the engine has not cached
+SILENCE_FACTOR = 4.0  # an engine that has been silent for this many expected run times is suspect
+LOCKED_DATA_SET_COST = 6.0  # cost, to a query that waits for loads, of a load that locks its data set
+OTHER_LOAD_COST = 2.0  # cost, to a load, of each other load of its data set there
+HOME_FILL = 0.9  # part of the time for which loads lock a data set at each of its home engines
+HOME_PREFERENCE_COST = 1.5  # range of the costs by which routers prefer different home engines
+BEYOND_HOME_COST = 7.0  # cost, to a load, of each place in order beyond the home engines
+MEMORY_COST = 4.0  # cost of granting an engine's whole memory once more
+MEMORY_FILL_FREE = 0.9  # part of an engine's memory that may be granted at no cost
+HEALTH_CHECKS_PER_LONG_QUERY = 3  # engines checked before a long query goes to one of them
+MOSTLY_OWN_CHOICE = 0.5  # below this similarity to other routers, a router's choice is mostly its own
 
 
 class Placement(Subset):
-    """Placement: on which engine there is room for a query, and what each would cost it."""
+    """Placement: which engines have capacity for a query, and what each of them would cost it."""
 
-    def _pressure(self, e: Node) -> bool:
-        """Latency well above the engine's best, of what ended or what is still out, or a full refusal."""
-        return self.now < e.full_until or max(e.slow, e.lag) > PRESSURE * e.best
+    def _under_pressure(self, engine: EngineRecord) -> bool:
+        """True after a FULL answer, or if latency, also of attempts in flight, is well above the best."""
+        slowdown = max(engine.slowdown, engine.pending_slowdown)
+        return self.now < engine.full_until or slowdown > PRESSURE_RATIO * engine.best_slowdown
 
-    def _has_capacity(self, e: Node, rank: int) -> bool:
-        """One bound on our threads for all classes, under pressure only; long classes stop earlier."""
-        if not self._pressure(e):
+    def _has_capacity(self, engine: EngineRecord, rank: int) -> bool:
+        """True if the engine can take one more query; limited under pressure only, long classes earlier."""
+        if not self._under_pressure(engine):
             return True
-        whole, threads = BOUND * e.cores * self._warmth(e), self.order[rank].threads
-        share, part = whole / e.sharers, LONG if rank else 1.0
-        if share * part < threads:  # departure: a share below one query is dealt in whole ones
-            return len(e.out) < self._quota_of_queries(e, whole * part / threads)
-        return e.threads < share and (not rank or e.long_threads < LONG * share)
+        capacity = MAX_THREADS_PER_CORE * engine.cores * self._warmup_capacity(engine)
+        threads = self.classes[rank].threads
+        share, fraction = capacity / engine.sharers, LONG_CLASS_FRACTION if rank else 1.0
+        if share * fraction < threads:
+            # A share below one query would round to none, so routers share complete queries instead.
+            return len(engine.in_flight) < self._share_in_queries(engine, capacity * fraction / threads)
+        return engine.threads < share and (not rank or engine.long_threads < LONG_CLASS_FRACTION * share)
 
     def _over_fleet_bound(self, rank: int) -> bool:
-        """Departure, where our share is below one query: all engines' shares, and one, bound all of ours."""
-        threads, most = self.order[rank].threads, BOUND * self.cores * (LONG if rank else 1.0)
-        if most >= threads * len(self.able):
+        """True if this router's threads on all engines exceed its share of them and one query.
+
+        `_has_capacity` alone does not bound them where its share of each engine is less than a query.
+        """
+        threads, engines = self.classes[rank].threads, self.healthy_engines
+        most = MAX_THREADS_PER_CORE * self.cores * (LONG_CLASS_FRACTION if rank else 1.0)
+        if most >= threads * len(engines):
             return False
-        if rank:  # kept on average, as a part below one query would round to none or to one for every gateway
-            ours = sum(e.long_threads for e in self.able)
-            full = ours + threads / 2 > max(most, threads) or self.long_lately > most
-            return (self.crowd > PRESSURE and full) or sum(e.granted for e in self.able) > self.memory > 0.0
-        most = max(most, threads + self.widest)  # or one long query would bar all short ones
-        return self.crowd > PRESSURE and sum(e.threads for e in self.able) + threads / 2 > most
-
-    def _quota_of_queries(self, e: Node, whole: float) -> int:
-        """Our part of so many queries of all gateways at an engine: whole ones, by turns all agree on."""
-        turn = e.number + zlib.crc32(e.entry.id.encode())
-        return int(whole) // e.sharers + (turn % e.sharers < int(whole) % e.sharers)
-
-    def _cost(self, job: Job, e: Node) -> tuple[float, float]:
-        """Threads per core, and what reading a data set afresh or overfilling the memory adds to them."""
-        n, alike, data_set = self.s.balancers, self.alike, job.query.data_set  # others do as we, or the mean
-        mean = (1.0 - alike) * e.cores / (n * self.cores)  # by size, or the largest would draw all gateways
-        slow = max(1.0, min(4.0, max(e.slow, e.lag) / e.best))
-        cost = self.s.prices.cross_zone * (e.entry.zone != self.s.zone) + (e is job.avoid)
-        if e.memory:
-            granted = e.granted + (e.sharers - 1) * alike * e.granted + (n - 1) * mean * self.granted
-            cost += 4.0 * max(0.0, max(e.reported, granted / e.memory) + job.memory / e.memory - 0.9)
-        if self.many:
-            # Guards the fleet against an order that all share: popular data sets would jam the same engines.
-            cost += (e.threads / e.cores + 1.0) * slow - self._warming_up(e)  # a cold one gets what is dealt
-            return round(cost + (e.entry.id not in self.near), 1), self.rng.expovariate(1.0 / e.sharers)
-        threads = e.threads + (n - 1) * (alike * e.threads + mean * self.threads) + alike * job.cls.threads
-        cost += threads / e.cores * slow / self._warmth(e)
+        slow = self.lasting_slowdown > PRESSURE_RATIO
+        if rank:
+            # Kept on average: a share below one query would round to none or to one at every router.
+            in_flight = sum(engine.long_threads for engine in engines)
+            full = in_flight + threads / 2 > max(most, threads) or self.mean_long_threads > most
+            return (slow and full) or sum(engine.granted_memory for engine in engines) > self.memory > 0.0
+        most = max(most, threads + self.max_class_threads)  # or one long query would stop all short ones
+        return slow and sum(engine.threads for engine in engines) + threads / 2 > most
+
+    def _share_in_queries(self, engine: EngineRecord, total: float) -> int:
+        """This router's share of the complete queries that all routers may run there, in an agreed order."""
+        place = (engine.share_index + zlib.crc32(engine.entry.id.encode())) % engine.sharers
+        return int(total) // engine.sharers + (place < int(total) % engine.sharers)
+
+    def _cost(self, query: QueryRecord, engine: EngineRecord) -> tuple[float, float]:
+        """Cost of running the query there, in threads per core, and the value that decides between equals.
+
+        Other routers' attempts are assumed like its own as far as they choose alike, else like the mean.
+        """
+        routers, alike = self.settings.balancers, self.peer_similarity
+        # By size, or the largest engine would attract all routers.
+        mean = (1.0 - alike) * engine.cores / (routers * self.cores)
+        slowdown = max(engine.slowdown, engine.pending_slowdown) / engine.best_slowdown
+        slowdown = max(1.0, min(MAX_COSTED_SLOWDOWN, slowdown))
+        other_zone = engine.entry.zone != self.settings.zone
+        cost = self.settings.prices.cross_zone * other_zone + (engine is query.last_engine)
+        if engine.memory:
+            granted = engine.granted_memory + (engine.sharers - 1) * alike * engine.granted_memory
+            granted = granted + (routers - 1) * mean * self.granted
+            fill = max(engine.reported_fill, granted / engine.memory)
+            cost += MEMORY_COST * max(0.0, fill + query.memory / engine.memory - MEMORY_FILL_FREE)
+        if self.many_routers:
+            # Random between equals: an order that all routers share would overload the same engines with
+            # popular data sets. A warming engine is preferred, as the rules limit what it gets.
+            cost += (engine.threads / engine.cores + 1.0) * slowdown - self._warming_up(engine)
+            outside = engine.entry.id not in self.window_engines
+            return round(cost + outside, 1), self.random.expovariate(1.0 / engine.sharers)
+        others = alike * engine.threads + mean * self.threads
+        threads = engine.threads + (routers - 1) * others + alike * query.cls.threads
+        cost += threads / engine.cores * slowdown / self._warmup_capacity(engine)
+        data_set = query.request.data_set
         if data_set is not None:
-            cost += UNCACHED_DATA_SET_COST * alike * (data_set not in e.warm)
-            homes, places = self._homes(data_set)
-            place, unseen = places.get(e.entry.id, len(places)), 1.0 - 1.0 / n
-            if job.cls.waits_for_loads:
-                # What others' loads hold is not told: it is taken for held as likely as they are there.
-                home = min(1.0, max(0.0, homes - place))
-                cost += BARRED * (1.0 if e.barred(self.now, data_set) else unseen * HOME_FILL * home)
-            if job.cls.locks_data_set:  # it would stand still until the other loads end
-                cost += 2.0 * e.loading(data_set) + BEYOND_HOME_COST * unseen * max(0.0, place + 1.0 - homes)
-                if place < homes:  # each gateway begins at another one: there it knows most of what is held
-                    cost += OWN * ((place / homes - self.s.index / n) % 1.0)
-        return cost, zlib.crc32(f"0/{data_set}/{e.entry.id}".encode())
-
-    def _homes(self, data_set: int) -> tuple[float, dict[str, int]]:
-        """How many engines loads need over all gateways, and their places; departure: in an agreed order."""
-        if data_set not in self.homes:
-            asked = self.sets[data_set].rate(self.now) if data_set in self.sets else 0.0
-            part = asked / (self.asked.rate(self.now) or 1.0)
-            need = part * self.loads.rate(self.now) * self.s.balancers / HOME_FILL
-            places = {id: n for n, id in enumerate(agreed((e.entry.id for e in self.able), f"{data_set}/"))}
-            self.homes[data_set] = min(need, max(0.0, len(places) - 1.0)), places  # one for what waits
-        return self.homes[data_set]
-
-    def _survey(self) -> None:
-        n, now = self.s.balancers, self.now
+            cost = self._add_data_set_cost(cost, query, engine, data_set)
+        return cost, zlib.crc32(f"0/{data_set}/{engine.entry.id}".encode())
+
+    def _add_data_set_cost(
+        self, cost: float, query: QueryRecord, engine: EngineRecord, data_set: int
+    ) -> float:
+        """Add the cost of reading the data set and of the loads that lock it there to the other costs."""
+        cost += UNCACHED_DATA_SET_COST * self.peer_similarity * (data_set not in engine.cached_data_sets)
+        homes, places = self._home_engines(data_set)
+        place, unseen = places.get(engine.entry.id, len(places)), 1.0 - 1.0 / self.settings.balancers
+        if query.cls.waits_for_loads:
+            # Routers do not tell each other of loads: others' are assumed as likely as they are there.
+            at_home = min(1.0, max(0.0, homes - place))
+            locked = engine.is_locked(self.now, data_set)
+            cost += LOCKED_DATA_SET_COST * (1.0 if locked else unseen * HOME_FILL * at_home)
+        if query.cls.locks_data_set:  # it would wait until the other loads end
+            beyond = BEYOND_HOME_COST * unseen * max(0.0, place + 1.0 - homes)
+            cost += OTHER_LOAD_COST * engine.loads_in_flight(data_set) + beyond
+            if place < homes:  # each router begins at another one, where it knows most of the loads
+                start = self.settings.index / self.settings.balancers
+                cost += HOME_PREFERENCE_COST * ((place / homes - start) % 1.0)
+        return cost
+
+    def _home_engines(self, data_set: int) -> tuple[float, dict[str, int]]:
+        """How many engines the loads of all routers need, and the engines' places in an agreed order."""
+        if data_set not in self.home_engines:
+            rates = self.data_set_rates
+            asked = rates[data_set].rate(self.now) if data_set in rates else 0.0
+            fraction = asked / (self.query_rate.rate(self.now) or 1.0)
+            needed = fraction * self.load_run_rate.rate(self.now) * self.settings.balancers / HOME_FILL
+            order = agreed_order((engine.entry.id for engine in self.healthy_engines), f"{data_set}/")
+            places = {id: place for place, id in enumerate(order)}
+            # One engine at least is left to queries that wait for loads.
+            self.home_engines[data_set] = min(needed, max(0.0, len(places) - 1.0)), places
+        return self.home_engines[data_set]
+
+    def _refresh_engines(self) -> None:
+        """Choose the subset anew where needed, and bring up to date all that is derived from its engines."""
         self._choose_subset()
-        self.up = [e for e in self.nodes.values() if self.usable(e)]
-        able = self.able = [e for e in self.up if e.ejected_at is None]
-        self.homes.clear()
-        self.weigh(WARY, PART)
-        cold = [e for e in able if e.number >= 0 and self._warming_up(e)]
-        self.cold_able = sum(e.cores * self._warmth(e) / e.sharers for e in cold)
-        freshly = sum(e.cores * self._warmth(e) for e in cold) / self.paces[1]
-        warm = sum(e.cores for e in able if e.number >= 0 and not self._warming_up(e)) / self.paces[0]
-        self.cold_part = freshly / (freshly + warm or 1.0)
-        of_all = len(self.rings[0]) / max(1, len(self.up)) if self.many else 1.0  # engines, over those we see
-        self.cores = sum(e.cores * self._warmth(e) for e in able) * self.part / n * of_all or 1.0
-        self.memory = sum(e.memory for e in able) * self.part / n * of_all
-        mean = sum(len(e.out) for e in able) / max(1, len(able))
-        self.alike = max(1.0 / n, mean / (1.0 + mean))
-        # An engine's slowness fades to the pool's, the pool's to none, or refusing for it would never end.
-        kept = exp((self.surveyed - now) / (PATIENCE * self.tight.latency_objective))
-        self.fade(now, kept, sum(e.long_threads for e in self.summed()))
-
-    def _pick(self, job: Job, able: list[Node]) -> Node | None:
-        """The engine of least cost; departure: of the few cheapest for a long query the first probe back."""
-        if not (job.rank and self.s.may_health_check and len(able) > 1 and self.alike < MOSTLY_OWN_CHOICE):
-            return min(able, key=lambda e: self._cost(job, e))
-        if job.asked_at is None or self.now > job.asked_at + 4 * self.pause:
-            job.asked_at, job.asked = (
-                self.now,
-                sorted(able, key=lambda e: self._cost(job, e))[:HEALTH_CHECKS_PER_LONG_QUERY],
-            )
-            due = [e for e in self.up if e.ejected_at is not None and self.now >= e.trial_at][:1]
-            for e in due:
-                e.trial_at = self.now + e.backoff
-            self.out.extend(HealthCheck(e.entry.id) for e in job.asked + due)
-        told = [e for e in job.asked if e in able and e.probed_at > job.asked_at and e.probe < self.pause]
-        if told:
-            return min(told, key=lambda e: e.probe)
-        rest = [e for e in able if e not in job.asked] or able
-        return min(rest, key=lambda e: self._cost(job, e)) if self.now >= job.asked_at + self.pause else None
+        self.update_engines()
+        self.home_engines.clear()
+        self.update_warming_weights(UNSEEN_WORK_FACTOR, HEAVY_QUERIES_PER_UNIT)
+        # An engine's slowdown fades to the fleet's and the fleet's to none: without attempts nothing else
+        # would end the rejections that it causes.
+        kept = exp((self.refreshed_at - self.now) / (SILENCE_FACTOR * self.min_objective))
+        self.decay(self.now, kept, sum(engine.long_threads for engine in self.sum_in_flight()))
+
+    def _choose_engine(self, query: QueryRecord, able: list[EngineRecord]) -> EngineRecord | None:
+        """The engine of least cost; for a long query the first of the cheapest to answer a health check.
+
+        None while the answers are awaited.
+        """
+        may_check = query.rank and self.settings.may_health_check and len(able) > 1
+        if not (may_check and self.peer_similarity < MOSTLY_OWN_CHOICE):
+            return min(able, key=lambda engine: self._cost(query, engine))
+        checked_at = query.health_checked_at
+        if checked_at is None or self.now > checked_at + 4 * self.sweep_interval:
+            checked_at = query.health_checked_at = self.now
+            self._check_health(query, able)
+        answered = [
+            engine
+            for engine in query.health_checked
+            if engine in able
+            and engine.health_checked_at > checked_at
+            and engine.health_check_latency < self.sweep_interval
+        ]
+        if answered:
+            return min(answered, key=lambda engine: engine.health_check_latency)
+        if self.now < checked_at + self.sweep_interval:
+            return None
+        rest = [engine for engine in able if engine not in query.health_checked] or able
+        return min(rest, key=lambda engine: self._cost(query, engine))
+
+    def _check_health(self, query: QueryRecord, able: list[EngineRecord]) -> None:
+        """Check the cheapest engines for a query, and one ejected engine whose trial is due."""
+        cheapest = sorted(able, key=lambda engine: self._cost(query, engine))
+        query.health_checked = cheapest[:HEALTH_CHECKS_PER_LONG_QUERY]
+        ejected = [engine for engine in self.usable_engines if engine.ejected_at is not None]
+        due = [engine for engine in ejected if self.now >= engine.trial_at][:1]
+        for engine in due:
+            engine.trial_at = self.now + engine.ejection_backoff
+        self.actions.extend(HealthCheck(engine.entry.id) for engine in query.health_checked + due)
--- /dev/null
+++ b/grebeproxy/policy/query_tracking.py
@@ -0,0 +1,193 @@
+"""The queries of a router, and what is learned of them by class, tenant and data set.
+
+Only keeps account, and makes no decisions.
+"""
+
+from __future__ import annotations
+
+from bisect import bisect_left
+from collections import defaultdict
+
+from grebeproxy.policy.engine_tracking import EngineTracking
+from grebeproxy.policy.estimators import (
+    CostCorrection,
+    DecayingRate,
+    MajorityVote,
+    RecentRates,
+    SlidingSum,
+    TenantQuota,
+)
+from grebeproxy.policy.interface import (
+    AttemptEnded,
+    Cancel,
+    EngineKind,
+    Progress,
+    ProgressKind,
+    Query,
+    QueryClass,
+)
+from grebeproxy.policy.records import QueryRecord
+
+
+class QueryTracking(EngineTracking):
+    """The queries of a router: queued, in flight, and counted."""
+
+    def __init__(self, now: float, rate_time: float, max_data_sets: int) -> None:
+        """Average rates over ``rate_time`` seconds, and those of at most ``max_data_sets`` data sets."""
+        super().__init__(now)
+        self.queries: dict[str, QueryRecord] = {}  # by id
+        self.key_queues: defaultdict[str, list[QueryRecord]] = defaultdict(list)  # by key, of ordered classes
+        self.key_settled_at: dict[str, float] = {}  # when no attempt of a key can still be running
+        # By rank, which is a class's place in `classes`.
+        self.classes: list[QueryClass] = []  # by objective, the tightest first
+        self.class_rank: dict[str, int] = {}
+        self.queues: list[list[QueryRecord]] = []
+        self.typical_work: list[float] = []  # core-seconds
+        self.initial_work: list[float] = []  # the same as the settings imply it
+        self.class_slowdown: list[float] = []  # latency over run time, which priorities make different
+        self.class_counts: list[int] = []  # queries accepted
+        self.work_corrections: list[CostCorrection] = []
+        self.memory_corrections: list[CostCorrection] = []
+        # Traffic.
+        self.quotas: dict[str, TenantQuota] = {}  # by tenant
+        self.usual_deadline_fraction = MajorityVote()  # part of the deadline left to clients' first attempts
+        self.query_rate = DecayingRate(now, rate_time)
+        self.load_run_rate = DecayingRate(now, rate_time)  # seconds that loads run, in a second
+        self.data_set_rates = RecentRates(rate_time, max_data_sets)  # queries by data set
+        self.recent_queries = SlidingSum()
+        self.recent_retries = SlidingSum()
+        # Engines needed by loads, and their order, by data set; of this moment only.
+        self.home_engines: dict[int, tuple[float, dict[str, int]]] = {}
+
+    def set_classes(
+        self, classes: list[QueryClass], initial_work: list[float], kinds: tuple[EngineKind, ...]
+    ) -> None:
+        """Set the classes in order of rank, with the work assumed for a typical query of each.
+
+        What was learned of a class stays with its name, its typical work only where its objective and
+        threads are the same. Queries keep the class that they came with.
+        """
+        old_ranks = [self.class_rank.get(cls.name) for cls in classes]
+        typical_work = []
+        for cls, old, initial in zip(classes, old_ranks, initial_work, strict=True):
+            same = old is not None and (
+                (self.classes[old].latency_objective, self.classes[old].threads)
+                == (cls.latency_objective, cls.threads)
+            )
+            typical_work.append(self.typical_work[old] if same and old is not None else initial)
+        self.typical_work, self.initial_work = typical_work, initial_work
+        self.class_slowdown = [1.0 if old is None else self.class_slowdown[old] for old in old_ranks]
+        self.class_counts = [0 if old is None else self.class_counts[old] for old in old_ranks]
+        work, memory = self.work_corrections, self.memory_corrections
+        self.work_corrections = [CostCorrection() if old is None else work[old] for old in old_ranks]
+        self.memory_corrections = [CostCorrection() if old is None else memory[old] for old in old_ranks]
+        self.lowest_rank, self.tightest_class = len(classes) - 1, classes[0]
+        self.min_objective = self.tightest_class.latency_objective
+        self.classes, self.class_rank = classes, {cls.name: rank for rank, cls in enumerate(classes)}
+        run_times = [
+            work / cls.threads for work, cls in zip(typical_work, classes, strict=True) if cls.locks_data_set
+        ]
+        self.load_lock_time = max(run_times, default=0.0)
+        self._rank_queries()
+        self.set_kinds(kinds)
+
+    def _rank_queries(self) -> None:
+        """Give known queries the ranks of their classes, or of the next class if theirs is gone."""
+        order = [(cls.latency_objective, cls.deadline) for cls in self.classes]
+        for query in self.queries.values():
+            nearest = bisect_left(order, (query.cls.latency_objective, query.cls.deadline))
+            if query.engine is not None:
+                query.engine.adjust_totals(query, -1)
+            query.rank = self.class_rank.get(query.cls.name, min(self.lowest_rank, nearest))
+            if query.engine is not None:
+                query.engine.adjust_totals(query, 1)
+        queued = [query for queue in self.queues for query in queue]
+        ranks = range(len(self.classes))
+        self.queues = [[query for query in queued if query.rank == rank] for rank in ranks]
+
+    def set_quotas(self, quotas: dict[str, TenantQuota]) -> None:
+        """Set the tenants' quotas; one whose rate is unchanged keeps its state."""
+        for tenant, old in self.quotas.items():
+            if tenant in quotas and quotas[tenant].rate == old.rate:
+                quotas[tenant] = old
+        self.quotas = quotas
+
+    def count_query(self, request: Query, cls: QueryClass, work: float) -> None:
+        """Count a query in the rates of its data set, of all queries, and of the time that loads run."""
+        self.data_set_rates.latest(request.data_set, self.now).add(self.now, 1.0)
+        self.query_rate.add(self.now, 1.0)
+        if cls.locks_data_set:
+            self.load_run_rate.add(self.now, work / cls.threads)
+
+    def learn_costs(self, query: QueryRecord, ended: AttemptEnded, keep: float, max_ratio: float) -> None:
+        """Correct future estimates by the reported work and memory, at most ``max_ratio`` times estimated."""
+        for correction, actual, estimate in (
+            (self.work_corrections[query.rank], ended.work, query.request.work),
+            (self.memory_corrections[query.rank], ended.memory_mb, query.request.memory_mb),
+        ):
+            if actual and estimate:
+                correction.learn(min(actual, max_ratio * estimate), estimate, keep)
+
+    def update_warming_weights(self, unseen_factor: float, heavy_queries: float) -> None:
+        """Set what a query of each class counts on warming engines, and the unit of their slots.
+
+        A class's initial work, times ``unseen_factor``, counts like one query beside those seen.
+        """
+        learned = zip(self.initial_work, self.class_counts, self.typical_work, strict=True)
+        self.warming_weights = [
+            (unseen_factor * initial + count * work) / (1 + count) for initial, count, work in learned
+        ]
+        weights = zip(self.warming_weights, self.class_counts, strict=True)
+        seen = [weight for weight, count in weights if count] or self.warming_weights
+        self.warming_unit = heavy_queries * max(seen)
+
+    def releasable(self) -> list[QueryRecord]:
+        """Queued queries that wait for an engine only, not behind another one of their key."""
+        return [
+            query
+            for queue in self.queues
+            for query in queue
+            if not query.key_queue or query.key_queue[0] is query
+        ]
+
+    def backlog(self) -> float:
+        """Seconds that the share of the engines needs for the queued work, beyond the heaviest query."""
+        work = [query.work for query in self.releasable()]
+        return (sum(work) - max(work, default=0.0)) / self.cores
+
+    def close(self, query: QueryRecord) -> None:
+        """The client has its answer or has left; an attempt in flight is followed to its end."""
+        query.answered = True
+        if query in self.queues[query.rank]:
+            self.queues[query.rank].remove(query)
+        if query.engine is not None:
+            return
+        del self.queries[query.id]
+        if query.key_queue:
+            query.key_queue.remove(query)
+            if not query.key_queue:  # or they would accumulate, as clients keep creating new keys
+                self.key_queues.pop(query.request.key or "", None)
+
+    def cancel(self, query: QueryRecord) -> None:
+        """Cancel the attempt in flight."""
+        query.cancelled = True
+        self.actions.append(Cancel(query.id, query.attempts - 1))
+
+    def record_progress(self, event: Progress) -> None:
+        """Record a progress note of an attempt in flight, which also shows that its engine works."""
+        engine = self.engines.get(event.engine)
+        if engine is None:
+            return
+        engine.heard_at = self.now
+        query = self.queries.get(event.id)
+        if query is not None and event.kind is ProgressKind.FRACTION_DONE:
+            query.record_progress(self.now, event.attempt, event.value)
+
+    def decay(self, now: float, kept: float, long_threads: int) -> None:
+        """Let learned slowdowns fade to the part ``kept``, those of classes too."""
+        self.class_slowdown = [1.0 + (slowdown - 1.0) * kept for slowdown in self.class_slowdown]
+        super().decay(now, kept, long_threads)
+
+    def prune_keys(self) -> None:
+        """Drop keys that have settled: clients keep creating new ones."""
+        self.key_settled_at = {key: at for key, at in self.key_settled_at.items() if at > self.now}
--- a/grebeproxy/policy/records.py
+++ b/grebeproxy/policy/records.py
@@ -1,134 +1,198 @@
-"""Records of a query and of an engine. Bookkeeping only: no decision, no tuned value."""
+"""Records of a query and of an engine. They keep account, and make no decisions."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
+from grebeproxy.policy.estimators import SlidingSum
 from grebeproxy.policy.interface import Engine, Query, QueryClass
-from grebeproxy.policy.learned import Window
 
+MIN_PROGRESS = 0.01  # least progress from which an end is extrapolated
+
+
+class Estimate(NamedTuple):
+    """What a query is expected to take: work in core-seconds and memory in MB, both corrected."""
+
+    work: float
+    memory: float
 
-class Job:
-    """A query taken and not yet over."""
+
+class QueryRecord:
+    """A query from its acceptance until its client has an answer and no attempt is in flight."""
 
     def __init__(
-        self,
-        query: Query,
-        cls: QueryClass,
-        rank: int,
-        began: float,
-        work: float,
-        memory: float,
-        draw: float = 0.0,
+        self, request: Query, cls: QueryClass, rank: int, arrived_at: float, estimate: Estimate
     ) -> None:
-        self.query, self.cls, self.rank = query, cls, rank
-        self.id, self.due = query.id, query.due
-        self.began = began  # when the client's first try came
-        self.work, self.memory = work, memory  # corrected estimates
-        self.run = work / cls.threads
+        self.request = request
+        self.id = request.id
+        self.due = request.due
+        self.cls = cls
+        self.rank = rank
+        self.arrived_at = arrived_at  # clock time of the client's first attempt
+        self.work = estimate.work
+        self.memory = estimate.memory
+        self.run_time = estimate.work / cls.threads
         self.over_quota = False
-        self.turn: list[Job] = []  # all of its key in order, itself too, where its class is in order
+        self.key_queue: list[
+            QueryRecord
+        ] = []  # queries of its key in order, with itself, if its class is ordered
         self.attempts = 0
-        self.draw = draw  # 0 to 1, anew for each attempt
-        self.node: Node | None = None  # where the attempt that is out runs
-        self.sent = self.expected = self.patience = 0.0
-        self.ends_at = 0.0  # when the attempt is to end by its own notes
-        self.cancelled = self.answered = False
-        self.ran_at: float | None = None  # when the first attempt that may have run was sent, and where to
-        self.ran_on: Node | None = None
-        self.avoid: Node | None = None
-        self.erred: Node | None = None  # where the last attempt ended in an error
-        self.asked_at: float | None = None  # when engines were probed for it, and which
-        self.asked: list[Node] = []
-
-    def progressed(self, now: float, attempt: int, share: float) -> None:
-        """Book when an attempt is to end by its own note, where it is the latest one."""
+        self.random_draw = 0.0  # 0 to 1, drawn anew for each attempt
+        self.engine: EngineRecord | None = None  # of the attempt in flight
+        self.sent_at = 0.0
+        self.expected_latency = 0.0
+        self.silence_limit = 0.0  # seconds without a sign of the engine after which it is suspect
+        self.predicted_end = 0.0  # clock time, by progress notes of the attempt in flight
+        self.cancelled = False  # the attempt in flight
+        self.answered = False
+        self.first_ran_at: float | None = None  # when the first attempt that may have run was sent
+        self.first_ran_on: EngineRecord | None = None  # and where to
+        self.last_engine: EngineRecord | None = None
+        self.error_engine: EngineRecord | None = None  # if the last attempt ended in an error, its engine
+        self.health_checked_at: float | None = None  # when engines were last checked for it
+        self.health_checked: list[EngineRecord] = []  # and which
+
+    def record_progress(self, now: float, attempt: int, fraction: float) -> None:
+        """Extrapolate the end of the attempt in flight from the fraction done; older attempts are ignored."""
         if attempt == self.attempts - 1:
-            self.ends_at = now + (now - self.sent) * (1.0 / max(0.01, share) - 1.0)
+            self.predicted_end = now + (now - self.sent_at) * (1.0 / max(MIN_PROGRESS, fraction) - 1.0)
 
     def objective_at(self, stretch: float = 1.0) -> float:
-        """Clock time at which the aim passes, with the work's part of it stretched."""
-        return self.began + self.cls.latency_objective + stretch * self.cls.objective_stretch * self.run
+        """Clock time at which the latency objective is missed, with its part for the work stretched."""
+        by_work = stretch * self.cls.objective_stretch * self.run_time
+        return self.arrived_at + self.cls.latency_objective + by_work
 
 
-class Node:
-    """What one gateway knows of one engine."""
+class EngineRecord:
+    """What one router knows of one engine."""
 
     def __init__(self, entry: Engine, cores: float, memory: float) -> None:
-        self.entry, self.cores, self.memory = entry, cores, memory
-        self.member = True  # of the engines that this gateway works with
-        self.sharers, self.number = 1, 0  # gateways that work with it, and ours among those
-        self.out: dict[str, Job] = {}
-        self.threads = self.long_threads = 0
-        self.granted = 0.0
-        self.reported = 0.0  # share of its memory that the engine last said is granted, fading
-        self.warm: dict[int, None] = {}  # data sets sent here, the latest last
-        self.held_until: dict[int, float] = {}  # data sets that loads are taken to hold here
-        self.still = 0  # queries that stood still here since it was last heard
-        self.slow = self.best = 1.0  # latency over run time: lately, and at best
-        self.lag = 0.0  # the same of what is still out
-        self.heard = self.full_until = 0.0
-        self.shut = self.shut_until = 0.0  # after full refusals
-        self.faults = 0.0
-        self.broke_at = -1.0  # when a connection that ended was last counted against it
+        self.entry = entry
+        self.cores = cores
+        self.memory = memory
+        self.in_subset = True  # one of the engines that this router works with
+        self.sharers = 1  # routers that work with it
+        self.share_index = 0  # this router's number among them; negative where that is unknown
+        self.in_flight: dict[str, QueryRecord] = {}  # by query id
+        self.threads = 0  # of the attempts in flight, like the next two
+        self.long_threads = 0
+        self.granted_memory = 0.0
+        self.reported_fill = 0.0  # part of its memory that it last reported as granted, fading
+        self.cached_data_sets: dict[int, None] = {}  # data sets of queries sent to it, the latest last
+        self.locked_until: dict[int, float] = {}  # data sets that loads are assumed to lock there
+        self.stalled_queries = 0  # since it was last heard
+        self.slowdown = 1.0  # latency over run time, lately
+        self.best_slowdown = 1.0
+        self.pending_slowdown = 0.0  # the same of attempts in flight
+        self.heard_at = 0.0
+        self.full_until = 0.0  # under pressure until then, after a FULL answer
+        self.full_backoff = 0.0
+        self.closed_until = 0.0  # gets nothing until then, after a FULL answer
+        self.fault_rate = 0.0
+        self.last_reset_at = -1.0  # when a broken connection was last counted as a fault
         self.ejected_at: float | None = None
-        self.trial_at = self.backoff = 0.0
+        self.trial_at = 0.0  # when an ejected engine may get a trial
+        self.ejection_backoff = 0.0
+        self.unreachable = False  # ejected because connecting failed
+        self.health_checked_at = 0.0  # when a health check last ended
+        self.health_check_latency = 0.0
+        self.warming_since: float | None = None
+        self.warming_sent = SlidingSum()  # weights of the queries sent while warming up
+
+    def record_send(self, query: QueryRecord, now: float, max_cached: int) -> None:
+        """Record an attempt that is sent; at most ``max_cached`` data sets are assumed to be cached."""
+        query.engine = self
+        query.sent_at = now
+        query.cancelled = False
+        query.attempts += 1
+        query.predicted_end = 0.0
+        self.in_flight[query.id] = query
+        self.adjust_totals(query, 1)
+        data_set = query.request.data_set
+        if data_set is not None:
+            self.cached_data_sets.pop(data_set, None)
+            self.cached_data_sets[data_set] = None
+            while len(self.cached_data_sets) > max_cached:
+                del self.cached_data_sets[next(iter(self.cached_data_sets))]
+
+    def record_end(self, query: QueryRecord) -> None:
+        """Record the end of the attempt in flight."""
+        del self.in_flight[query.id]
+        query.engine = None
+        self.adjust_totals(query, -1)
+
+    def record_restart(self, since: float, now: float) -> None:
+        """Record that the engine's process is a new one, which warms up and may be tried at once."""
+        self.warming_since = since
+        self.trial_at = now
+        self.cached_data_sets.clear()
+
+    def record_return(self, now: float, slowdown: float) -> None:
+        """Forget the engine's faults and silence, as operators have given it back after a restart."""
+        self.record_restart(now, now)
+        self.ejected_at = None
+        self.fault_rate = 0.0
+        self.ejection_backoff = 0.0
+        self.unreachable = False
+        self.stalled_queries = 0
+        self.heard_at = now
+        self.slowdown = slowdown
+
+    def record_reset(self, sent_at: float, now: float) -> bool:
+        """Record that an attempt's connection broke; False if that was recorded since it was sent.
+
+        One connection that breaks ends all attempts on it, and is one fault, not one for each.
+        """
+        if sent_at <= self.last_reset_at:
+            return False
+        self.last_reset_at = now
+        return True
+
+    def record_recovery(self, now: float, fault_rate: float, warming_up: bool) -> None:
+        """Take it back after a successful trial; if it was unreachable it has restarted, and warms up."""
+        self.ejected_at = None
+        self.fault_rate = fault_rate
+        if self.unreachable and not warming_up:
+            self.warming_since = now
         self.unreachable = False
-        self.probed_at, self.probe = 0.0, 0.0  # when a probe last came back, and after how long
-        self.cold_since: float | None = None
-        self.cold_sent = Window()
-
-    def attach(self, job: Job, now: float, warm: int) -> None:
-        """Book an attempt that goes out; so many data sets are taken to be warm."""
-        job.node, job.sent, job.cancelled, job.attempts = self, now, False, job.attempts + 1
-        job.ends_at = 0.0
-        self.out[job.id] = job
-        self.book(job, 1)
-        if job.query.data_set is not None:
-            self.warm.pop(job.query.data_set, None)
-            self.warm[job.query.data_set] = None
-            while len(self.warm) > warm:
-                del self.warm[next(iter(self.warm))]
-
-    def detach(self, job: Job) -> None:
-        """Book an attempt that has ended."""
-        del self.out[job.id]
-        job.node = None
-        self.book(job, -1)
-
-    def restarted(self, since: float, now: float) -> None:
-        """Book a new process of the engine."""
-        self.cold_since, self.trial_at = since, now
-        self.warm.clear()
-
-    def probed(self, now: float, latency: float, quick: float) -> None:
-        """Book a probe; one that came back so quickly is a sign of life."""
-        self.probed_at, self.probe = now, latency
-        self.heard = max(self.heard, now if latency < quick else 0.0)
-
-    def hold(self, data_set: int, now: float, until: float) -> None:
-        """Take a data set for held here by a load. Guards the memory: ever new ones are named."""
-        self.held_until = {held: over for held, over in self.held_until.items() if over > now}
-        self.held_until[data_set] = until
-
-    def loading(self, data_set: int) -> int:
-        """Loads of ours that are out here and hold the data set, or wait for it."""
-        return sum(o.query.data_set == data_set and o.cls.locks_data_set for o in self.out.values())
-
-    def barred(self, now: float, data_set: int) -> bool:
-        """A load is out here that holds the data set, ours or, as a query stood still, another's."""
-        return self.held_until.get(data_set, 0.0) > now or self.loading(data_set) > 0
-
-    def settle(self, now: float, base: float, kept: float) -> None:
-        """Let what was learned of slowness fade, and look at how late what is still out is."""
-        self.slow = base + (self.slow - base) * kept
-        self.reported *= kept
-        if not self.out:
-            self.lag = 0.0
+
+    def record_health_check(self, now: float, latency: float, quick: bool) -> None:
+        """Record the end of a health check; only a quick answer shows that the engine works."""
+        self.health_checked_at = now
+        self.health_check_latency = latency
+        if quick:
+            self.heard_at = max(self.heard_at, now)
+
+    def lock_data_set(self, data_set: int, now: float, until: float) -> None:
+        """Assume that a load locks the data set here. Ended locks are dropped, or they would accumulate."""
+        self.locked_until = {locked: end for locked, end in self.locked_until.items() if end > now}
+        self.locked_until[data_set] = until
+
+    def loads_in_flight(self, data_set: int) -> int:
+        """Loads of this router in flight here that lock the data set, or wait for its lock."""
+        return sum(q.request.data_set == data_set and q.cls.locks_data_set for q in self.in_flight.values())
+
+    def is_locked(self, now: float, data_set: int) -> bool:
+        """True if a load locks the data set here: one of this router, or one assumed after a stall."""
+        return self.locked_until.get(data_set, 0.0) > now or self.loads_in_flight(data_set) > 0
+
+    def decay(self, now: float, fleet_slowdown: float, kept: float) -> None:
+        """Let the slowdown fade towards the fleet's, and measure how late the attempts in flight are."""
+        self.slowdown = fleet_slowdown + (self.slowdown - fleet_slowdown) * kept
+        self.reported_fill *= kept
+        if not self.in_flight:
+            self.pending_slowdown = 0.0
+            return
+        in_flight = self.in_flight.values()
+        late = sum(max(0.0, now - query.sent_at - query.expected_latency) for query in in_flight)
+        if not late:
+            self.pending_slowdown = 0.0
             return
-        late = sum(max(0.0, now - job.sent - job.expected) for job in self.out.values())
-        self.lag = self.best * (1.0 + late / sum(j.expected for j in self.out.values())) if late else 0.0
-
-    def book(self, job: Job, sign: int) -> None:
-        """Book an attempt's threads and memory, or take them off again."""
-        self.threads += sign * job.cls.threads
-        self.long_threads += sign * job.cls.threads if job.rank else 0
-        self.granted += sign * job.memory
+        expected = sum(query.expected_latency for query in in_flight)
+        self.pending_slowdown = self.best_slowdown * (1.0 + late / expected)
+
+    def adjust_totals(self, query: QueryRecord, sign: int) -> None:
+        """Add an attempt's threads and memory to the totals in flight, or subtract them."""
+        self.threads += sign * query.cls.threads
+        self.long_threads += sign * query.cls.threads if query.rank else 0
+        self.granted_memory += sign * query.memory
--- a/grebeproxy/policy/release.py
+++ b/grebeproxy/policy/release.py
@@ -1,82 +1,102 @@
-"""The order of release: what leaves next, and when."""
+"""The order in which queued queries are sent, and when."""
 
 from grebeproxy.policy.interface import Overbooked, Send, SetTerms
-from grebeproxy.policy.placement import PATIENCE, Placement
-from grebeproxy.policy.records import Job, Node
+from grebeproxy.policy.placement import SILENCE_FACTOR, Placement
+from grebeproxy.policy.records import EngineRecord, QueryRecord
 
-FLOOR, GAP_MARGIN = 1.0, 1.5  # base priority; full-load gap between neighbours, in deadlines of urgency
-LOW, HIGH = 0.05, 0.5  # held queries per core of ours at which the gap starts and is full
-HUSH = 0.8  # part of its aim for which an attempt may hear nothing of its engine, however short it is
-SCAN = 16  # held queries of a class that are looked at for one that may go
-GRANT, PAGED_GRANT = 1.15, 1.5  # memory granted over the estimate, and where an engine pages
+BASE_PRIORITY = 1.0
+PRIORITY_GAP_MARGIN = 1.5  # gap between neighbouring classes at full load, in deadlines of waiting
+LOAD_START_DEPTH = 0.05  # queued queries per core of this router's share at which load begins
+FULL_LOAD_DEPTH = 0.5  # the same at which the load factor is 1
+MIN_SILENCE_FRACTION = 0.8  # part of its objective for which an attempt may hear nothing, however short
+PROGRESS_PERIODS = 2.2  # periods of progress notes that an attempt may miss
+MAX_QUERIES_SCANNED = 16  # queued queries of a class that are tried for one that an engine can take
+GRANT_FACTOR = 1.15  # memory granted over the estimate
+PAGING_GRANT_FACTOR = 1.5  # the same where an engine would page
+HIGHEST_PRIORITY = 3  # of an engine's priorities, 0 to 3
 
 
 class Release(Placement):
-    """The order of release: what leaves next, and when."""
+    """The order in which queued queries are sent, and when."""
 
-    def _load(self) -> float:
-        """The load factor, 0 to 1, from the depth of held queries; departure: in usual ones' work."""
-        held = self.ready()
-        usual = sum(u * n for u, n in zip(self.usual, self.seen, strict=True)) / max(1, sum(self.seen))
-        depth = max(len(held), sum(job.work for job in held) / usual if usual else 0.0)
-        low, high = max(1.0, LOW * self.cores), max(2.0, HIGH * self.cores)
+    def _load_factor(self) -> float:
+        """The load, 0 to 1, by the depth of the queues, counted in queries or in the work of typical ones."""
+        queued = self.releasable()
+        work = sum(work * count for work, count in zip(self.typical_work, self.class_counts, strict=True))
+        typical = work / max(1, sum(self.class_counts))
+        depth = max(len(queued), sum(query.work for query in queued) / typical if typical else 0.0)
+        low, high = max(1.0, LOAD_START_DEPTH * self.cores), max(2.0, FULL_LOAD_DEPTH * self.cores)
         return min(1.0, max(0.0, (depth - low) / (high - low)))
 
-    def _priority(self, job: Job, load: float) -> float:
-        """Floor, plus the gap between classes that load opens, plus urgency; at load 0 near arrival order."""
-        waited = self.now - job.began
-        if job.rank and job.rank == self.last:  # the lowest class grows urgent after a grace
-            waited = max(0.0, waited - load * job.cls.latency_objective / 2)
-        behind = self.gap if job.over_quota else 0.0  # past its tenant's share: after what is within
-        return FLOOR + self.gap * load * self.weight[job.rank] + waited / self.tight.deadline - behind
+    def _priority(self, query: QueryRecord, load: float) -> float:
+        """Priority by class as far as there is load, and by waiting time; without load near arrival order."""
+        waited = self.now - query.arrived_at
+        if query.rank and query.rank == self.lowest_rank:  # the lowest class gains only after a while
+            waited = max(0.0, waited - load * query.cls.latency_objective / 2)
+        by_class = BASE_PRIORITY + self.priority_gap * load * self.rank_weight[query.rank]
+        penalty = self.priority_gap if query.over_quota else 0.0
+        return by_class + waited / self.tightest_class.deadline - penalty
 
     def _release(self) -> None:
-        """The highest priority leaves while there is room; a class with no room steps aside."""
-        while found := [f for f in map(self._first, range(len(self.held))) if f is not None]:
-            load = self._load()
-            job, e = max(found, key=lambda f: self._priority(f[0], load))
-            self.held[job.rank].remove(job)
-            self._send(job, e)
+        """Send queued queries by priority while there is capacity; classes without any are passed over."""
+        ranks = range(len(self.queues))
+        while found := [pair for pair in map(self._first_releasable, ranks) if pair is not None]:
+            load = self._load_factor()
+            query, engine = max(found, key=lambda pair: self._priority(pair[0], load))
+            self.queues[query.rank].remove(query)
+            self._send(query, engine)
 
-    def _first(self, rank: int) -> tuple[Job, Node] | None:
-        """The first held query of a class that may go, and its engine."""
-        if not self.held[rank] or self._over_fleet_bound(rank):
+    def _first_releasable(self, rank: int) -> tuple[QueryRecord, EngineRecord] | None:
+        """The first queued query of a class that can be sent, and its engine."""
+        if not self.queues[rank] or self._over_fleet_bound(rank):
             return None
-        roomy = [e for e in self.up if self._open(e, rank) and self._has_capacity(e, rank)]
-        for job in self.held[rank][:SCAN] if roomy else ():
-            # Departure: past our share of an engine's memory it waits here, not in its line and not paging.
-            able = [
-                e
-                for e in roomy
-                if self._may_send(job, e)
-                and (not (e.memory and e.out) or e.granted * e.sharers + job.memory <= e.memory)
-            ]
-            if able and (e := self._pick(job, able)) is not None:
-                return job, e
+        open_engines = [
+            engine
+            for engine in self.usable_engines
+            if self._accepts_queries(engine, rank) and self._has_capacity(engine, rank)
+        ]
+        for query in self.queues[rank][:MAX_QUERIES_SCANNED] if open_engines else ():
+            able = [e for e in open_engines if self._may_send(query, e) and self._has_memory(query, e)]
+            if able and (engine := self._choose_engine(query, able)) is not None:
+                return query, engine
         return None
 
-    def _send(self, job: Job, e: Node) -> None:
-        cls, s = job.cls, self.s
-        job.expected = job.run * max(1.0, e.slow) / self._warmth(e)
-        patience = min(PATIENCE * job.expected, 2.2 * (s.progress_period or cls.deadline))
-        job.patience = max(HUSH * cls.latency_objective, patience)
-        if job.attempts:
-            if s.rules.attempt_budget is not None:  # without one nobody would clear them away
-                self.extra.add(self.now)
-        elif s.priorities or s.memory_granted:
-            grant = job.memory * (PAGED_GRANT if s.overbooked is Overbooked.PAGE else GRANT)
-            if s.overbooked is Overbooked.SHRINK:  # spare memory is dealt out, as far as estimates scatter
-                grant *= max(1.0, min(1.0 + 2 * self.memories[job.rank].spread, 0.8 / max(self.fill, 0.01)))
-            barring = cls.locks_data_set and any(c.waits_for_loads for c in self.order)  # sooner over
-            self.out.append(
-                SetTerms(
-                    job.id,
-                    0 if job.over_quota else 3 if barring else max(1, 3 - job.rank),
-                    grant if s.memory_granted and job.memory else None,
-                )
-            )
-        e.attach(job, self.now, max(2, 2 * len(self.sets) // len(self.nodes)))
-        e.trial_at = self.now + e.backoff  # of one that is ejected
-        if self._warming_up(e):
-            e.cold_sent.add(self.now, self.weights[job.rank])
-        self.out.append(Send(job.id, e.entry.id, job.due, self._repeat_end(job)))
+    def _has_memory(self, query: QueryRecord, engine: EngineRecord) -> bool:
+        """True if the query fits into this router's share of the memory, or is alone; others wait here."""
+        if not (engine.memory and engine.in_flight):
+            return True
+        return engine.granted_memory * engine.sharers + query.memory <= engine.memory
+
+    def _send(self, query: QueryRecord, engine: EngineRecord) -> None:
+        """Send an attempt, and record what is expected of it."""
+        cls, settings = query.cls, self.settings
+        query.expected_latency = query.run_time * max(1.0, engine.slowdown) / self._warmup_capacity(engine)
+        longest = PROGRESS_PERIODS * (settings.progress_period or cls.deadline)
+        silence = min(SILENCE_FACTOR * query.expected_latency, longest)
+        query.silence_limit = max(MIN_SILENCE_FRACTION * cls.latency_objective, silence)
+        if query.attempts:
+            if settings.rules.attempt_budget is not None:  # nothing prunes them without a budget
+                self.recent_retries.add(self.now)
+        elif settings.priorities or settings.memory_granted:
+            self.actions.append(self._terms(query))
+        cached = max(2, 2 * len(self.data_set_rates) // len(self.engines))
+        engine.record_send(query, self.now, cached)
+        engine.trial_at = self.now + engine.ejection_backoff  # of the next trial, if it is ejected
+        if self._warming_up(engine):
+            engine.warming_sent.add(self.now, self.warming_weights[query.rank])
+        self.actions.append(Send(query.id, engine.entry.id, query.due, self._retry_deadline(query)))
+
+    def _terms(self, query: QueryRecord) -> SetTerms:
+        """The priority in the engine and the memory grant of a query."""
+        overbooked = self.settings.overbooked
+        grant = query.memory * (PAGING_GRANT_FACTOR if overbooked is Overbooked.PAGE else GRANT_FACTOR)
+        if overbooked is Overbooked.SHRINK:  # free memory is granted too, as far as estimates scatter
+            scatter = 1.0 + 2 * self.memory_corrections[query.rank].spread
+            grant *= max(1.0, min(scatter, 0.8 / max(self.memory_fill, 0.01)))
+        if query.over_quota:
+            priority = 0
+        elif query.cls.locks_data_set and any(cls.waits_for_loads for cls in self.classes):
+            priority = HIGHEST_PRIORITY  # the sooner it ends, the sooner others stop waiting for its lock
+        else:
+            priority = max(1, HIGHEST_PRIORITY - query.rank)
+        return SetTerms(query.id, priority, grant if self.settings.memory_granted and query.memory else None)
--- a/grebeproxy/policy/rules.py
+++ b/grebeproxy/policy/rules.py
@@ -1,90 +1,93 @@
-"""The rules that every send keeps, and what is known of engines that have just started."""
+"""Conditions that every attempt must meet before it is sent, and the limits of warming engines."""
 
 import zlib
 from math import exp
 
-from grebeproxy.policy.books import Books
 from grebeproxy.policy.interface import Idempotency, Scope
-from grebeproxy.policy.records import Job, Node
+from grebeproxy.policy.records import EngineRecord, QueryRecord
+from grebeproxy.policy.query_tracking import QueryTracking
 
-WARMING_MARGIN, PACKED = 0.55, 0.7  # of the budget: slots meet, cores are 0.85 busy; of a slot, whole queries
-SLOTS, PART, TURN = 2, 1.25, 0.6180339887  # slots of its window, heavy queries in one, turns between them
-WARY = 3.0  # times its work by the settings: a query of each class beside those that were seen
+# Of the overload rule's budget: a window can meet two slots, and capacity means cores that are 0.85 busy.
+WARMING_MARGIN = 0.55
+SLOT_FILL = 0.7  # part of a slot that gets used, as only complete queries fit into it
+SLOTS_PER_WINDOW = 2  # slots in the overload rule's time window
+HEAVY_QUERIES_PER_UNIT = 1.25  # size of one unit of a slot, in queries of the heaviest class asked for
+SLOT_ROTATION = 0.6180339887  # golden ratio: from slot to slot the units go to other routers, evenly
+UNSEEN_WORK_FACTOR = 3.0  # work assumed for a class without queries yet, over what the settings imply
 
 
-class Rules(Books):
-    """The rules that every send keeps, and what is known of engines that have just started."""
+class Rules(QueryTracking):
+    """Conditions that every attempt must meet before it is sent, and the limits of warming engines."""
 
-    def _may_send(self, job: Job, e: Node) -> bool:
-        """Every send passes here: answers, drains, placement, repeats, order, attempts, cold engines."""
-        cls, s, entry = job.cls, self.s, e.entry
-        if job.answered or job.node is not None or job.attempts >= s.max_attempts or self.now >= job.due:
+    def _may_send(self, query: QueryRecord, engine: EngineRecord) -> bool:
+        """True if no rule forbids sending an attempt of the query to the engine now."""
+        cls, rules, entry = query.cls, self.settings, engine.entry
+        if query.answered or query.engine is not None or self.now >= query.due:
             return False
-        if (
-            not self.usable(e)
-            or entry.zone not in (cls.allowed_zones or (entry.zone,))
-            or (entry.kind not in (cls.allowed_kinds or (entry.kind,)))
-        ):
+        if query.attempts >= rules.max_attempts or not self.is_usable(engine):
             return False
-        if job.ran_on is not None and cls.idempotency is not Idempotency.IDEMPOTENT:
-            first = job.ran_on.entry
-            if (
-                not self._repeatable(job)
-                or (cls.scope is Scope.ZONE and first.zone != entry.zone)
-                or (cls.scope is Scope.CELL and first.cell != entry.cell)
-            ):
-                return False
-        if job.turn and (
-            job.turn[0] is not job
-            or (not job.attempts and self.now < self.rest.get(job.query.key or "", self.now))
-        ):
+        if entry.zone not in (cls.allowed_zones or (entry.zone,)):
             return False
-        if job.attempts and not self._extra_left():
+        if entry.kind not in (cls.allowed_kinds or (entry.kind,)):
             return False
-        return not self._warming_up(e) or self._in_slot(job, e)
+        if query.first_ran_on is not None and cls.idempotency is not Idempotency.IDEMPOTENT:
+            if not (self._may_retry(query) and self._drops_repeats(query, engine)):
+                return False
+        if query.key_queue:
+            settled_at = self.key_settled_at.get(query.request.key or "", self.now)
+            if query.key_queue[0] is not query or (not query.attempts and self.now < settled_at):
+                return False
+        if query.attempts and not self._retry_budget_left():
+            return False
+        return not self._warming_up(engine) or self._warmup_slot_allows(query, engine)
+
+    def _drops_repeats(self, query: QueryRecord, engine: EngineRecord) -> bool:
+        """True if the engine knows the idempotency keys of the one that may have run the query."""
+        if query.first_ran_on is None or query.cls.scope is Scope.ALL:
+            return True
+        first = query.first_ran_on.entry
+        zonal = query.cls.scope is Scope.ZONE
+        return first.zone == engine.entry.zone if zonal else first.cell == engine.entry.cell
+
+    def _warmup_slot_allows(self, query: QueryRecord, engine: EngineRecord) -> bool:
+        """True if this router's part of the warming engine's current slot has capacity for the query.
 
-    def _in_slot(self, job: Job, e: Node) -> bool:
-        """A cold engine's budget is dealt in slots from its start on, seen alike by all, restarted or not."""
-        slot = int((self.now - (e.cold_since or 0.0)) / self.slot)
-        start = (e.cold_since or 0.0) + slot * self.slot
-        if start <= self.began or e.number < 0:
-            return False  # a former self may have had this slot, or others are dealt this engine
-        each = WARMING_MARGIN * self.s.rules.overload_factor * self.slot / self.heavy
-        if self.many and job.draw * (1.0 - exp(-PACKED * each * self.cold_able)) >= self.cold_part:
+        Slots are counted from the engine's start, so that all routers see the same ones without talking.
+        """
+        slot = int((self.now - (engine.warming_since or 0.0)) / self.warmup_slot_time)
+        start = (engine.warming_since or 0.0) + slot * self.warmup_slot_time
+        if start <= self.started_at or engine.share_index < 0:
+            # Before a restart this router may have used the slot already; or the units are other routers'.
             return False
-        turn = (zlib.crc32(e.entry.id.encode()) + slot) * TURN
-        parts = int(each * e.cores * self._warmth(e) / e.sharers + (turn + e.number / e.sharers) % 1.0)
-        return e.cold_sent.since(start - 1e-6) + self.weights[job.rank] <= parts * self.heavy
+        budget = WARMING_MARGIN * self.settings.rules.overload_factor * self.warmup_slot_time
+        units = budget / self.warming_unit  # for each core
+        if self.many_routers:
+            has_unit = 1.0 - exp(-SLOT_FILL * units * self.warming_capacity)
+            if query.random_draw * has_unit >= self.warming_fraction:
+                return False
+        turn = (zlib.crc32(engine.entry.id.encode()) + slot) * SLOT_ROTATION
+        mean = units * engine.cores * self._warmup_capacity(engine) / engine.sharers
+        own_units = int(mean + (turn + engine.share_index / engine.sharers) % 1.0)
+        used = engine.warming_sent.since(start - 1e-6)
+        return used + self.warming_weights[query.rank] <= own_units * self.warming_unit
 
-    def _extra_left(self) -> bool:
-        """The budget of attempts beyond the first has room for one."""
-        budget = self.s.rules.attempt_budget
+    def _retry_budget_left(self) -> bool:
+        """True if the budget of attempts beyond the first allows one more."""
+        budget = self.settings.rules.attempt_budget
         if budget is None:
             return True
         since = self.now - budget.window
-        return self.extra.since(since) + 1 <= budget.floor + budget.share * self.taken.since(since)
+        retries = self.recent_retries.since(since) + 1
+        return retries <= budget.floor + budget.share * self.recent_queries.since(since)
 
-    def _repeatable(self, job: Job) -> bool:
-        """Another attempt is harmless: it never ran, or repeats are safe or dropped."""
-        end = self._repeat_end(job)
-        return end is None or self.now + self.s.tick < end
+    def _may_retry(self, query: QueryRecord) -> bool:
+        """True if another attempt is harmless: none ran, or it is idempotent, or dropped by its key."""
+        end = self._retry_deadline(query)
+        return end is None or self.now + self.settings.tick < end
 
-    def _repeat_end(self, job: Job) -> float | None:
-        """Clock time from which on another attempt may do harm, if there is one."""
-        if job.ran_at is None or job.cls.idempotency is Idempotency.IDEMPOTENT:
+    def _retry_deadline(self, query: QueryRecord) -> float | None:
+        """Clock time from which another attempt may do harm; None if there is no such time."""
+        if query.first_ran_at is None or query.cls.idempotency is Idempotency.IDEMPOTENT:
             return None
-        return job.ran_at + (
-            job.cls.retry_window if job.cls.idempotency is Idempotency.IDEMPOTENCY_KEY else 0.0
-        )
-
-    def _warming_up(self, e: Node) -> bool:
-        return e.cold_since is not None and self.now < e.cold_since + self.s.rules.slow_start_time
-
-    def _warmth(self, e: Node) -> float:
-        """Part of its capacity that a starting engine is taken to have, for the choice only."""
-        low, age = self.s.rules.slow_start_fraction, self.now - (e.cold_since or 0.0)
-        return (
-            max(0.05, low + (1 - low) * max(0.0, age) / self.s.rules.slow_start_time)
-            if self._warming_up(e)
-            else 1.0
-        )
+        keyed = query.cls.idempotency is Idempotency.IDEMPOTENCY_KEY
+        return query.first_ran_at + (query.cls.retry_window if keyed else 0.0)
--- a/grebeproxy/policy/subset.py
+++ b/grebeproxy/policy/subset.py
@@ -1,37 +1,53 @@
-"""The engines that one of many gateways works with: a window of an order that all gateways agree on."""
+"""The engines that one of many routers works with: a window of an order that all routers agree on."""
 
 from grebeproxy.policy.health import Health
 
-SIZE, ROOMY = 16, 3.0  # engines that a gateway works with, or so many times its part: connections cost
-MOST_PART, SETTLED = 8.0, 0.2  # times the mean traffic that it takes itself to have; a change that counts
-FEW, ENOUGH, WIDEST = 0.5, 0.75, 3.0  # of the size: reliable ones that are too few, or enough; most beyond
+MIN_WINDOW = 16  # fewest engines that a router works with; connections cost, so not many more
+WINDOW_FACTOR = 3.0  # or this many times its part of all engines, where that is more
+MAX_TRAFFIC_RATIO = 8.0  # most that a router takes its own traffic to be, over the mean router's
+WINDOW_HYSTERESIS = 0.2  # relative change of the wanted size from which the window is chosen anew
+WIDEN_BELOW = 0.5  # part of the window that is reliable below which it is extended
+NARROW_ABOVE = 0.75  # the same from which the extension is given up again
+MAX_EXTENSION = 3.0  # longest extension, in sizes of the window
 
 
 class Subset(Health):
-    """Which engines a gateway works with. What is decided for a query depends on them alone."""
+    """Which engines a router works with. Decisions on queries depend on these alone."""
 
     def _choose_subset(self) -> None:
-        """All engines; where gateways are many, a window that is wider while few in it are reliable."""
-        if self.many:
-            # Busier than the mean as far as with every tenant: one may have a burst.
-            busier = min((share.busier(self.now) for share in self.shares.values()), default=1.0)
-            self.part = min(MOST_PART, max(1.0, busier))
-            base = round(max(SIZE, ROOMY * len(self.rings[0]) / self.s.balancers))
-            if abs(base * self.part - self.size) > SETTLED * self.size:
-                self.size, self.refit = round(base * self.part), True
-            if not self.refit:
-                self._widen()
-            if self.refit:  # what cold engines may get is dealt within the base, which all have alike
-                self.take_window(base)
-        elif self.refit:
-            self.take_all()
+        """Work with all engines; with many routers, with a window that is extended while few are reliable."""
+        if not self.many_routers:
+            if self.subset_stale:
+                self.use_all_engines()
+            return
+        # The least over all tenants, as the traffic of one tenant may be a burst.
+        busier = min((quota.busier(self.now) for quota in self.quotas.values()), default=1.0)
+        self.traffic_ratio = min(MAX_TRAFFIC_RATIO, max(1.0, busier))
+        base = round(max(MIN_WINDOW, WINDOW_FACTOR * len(self.rings[0]) / self.settings.balancers))
+        if abs(base * self.traffic_ratio - self.window_size) > WINDOW_HYSTERESIS * self.window_size:
+            self.window_size, self.subset_stale = round(base * self.traffic_ratio), True
+        if not self.subset_stale:
+            self._adjust_extension()
+        if self.subset_stale:
+            # Budgets of warming engines are shared within the base, which is the same for all routers.
+            self.use_window(base)
 
-    def _widen(self) -> None:
-        """Take in more while few are reliable, in the agreed order, and let go of them while enough are."""
-        reliable = {e.entry.id for e in self.up if e.ejected_at is None and not self._warming_up(e)}
-        step, left = max(1, self.size // 2), len(self.rings[0]) - self.size
-        wanted = self.size + min(0, left)
-        if len(reliable) < FEW * wanted and self.widening < min(WIDEST * self.size, left):
-            self.widening, self.refit = self.widening + step, True
-        elif self.widening and len(reliable.difference(self.spare[-step:])) >= ENOUGH * wanted:
-            self.widening, self.refit = max(0, self.widening - step), True
+    def _adjust_extension(self) -> None:
+        """Extend the window, in the agreed order, while few engines are reliable; shorten it again after."""
+        reliable = {
+            engine.entry.id
+            for engine in self.usable_engines
+            if engine.ejected_at is None and not self._warming_up(engine)
+        }
+        size = self.window_size
+        step, beyond = max(1, size // 2), len(self.rings[0]) - size
+        wanted = size + min(0, beyond)
+        longest = min(MAX_EXTENSION * size, beyond)
+        if len(reliable) < WIDEN_BELOW * wanted and self.window_extension < longest:
+            self.window_extension += step
+            self.subset_stale = True
+        elif self.window_extension:
+            without_last_step = reliable.difference(self.extension_engines[-step:])
+            if len(without_last_step) >= NARROW_ABOVE * wanted:
+                self.window_extension = max(0, self.window_extension - step)
+                self.subset_stale = True
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -124,7 +124,7 @@
 
     def crowd(self) -> None:
         """Makes every engine show pressure, as after a full refusal."""
-        for node in self.choice.nodes.values():
+        for node in self.choice.engines.values():
             node.full_until = self.now + 1000.0
 
 
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -104,7 +104,7 @@
     def nodes(self) -> list[Any]:
         """What the decision module thinks of each engine."""
         choice: Any = self.runtime._router._choice
-        return list(choice.nodes.values())
+        return list(choice.engines.values())
 
     def narrow(self) -> None:
         """From now on the machine takes little of what is written to clients; the rest the router keeps."""
--- a/tests/streams.py
+++ b/tests/streams.py
@@ -148,8 +148,8 @@
             case api.Send(id, engine, _):
                 number = self.attempts[id] = self.attempts.get(id, -1) + 1
                 self.out[id] = (engine, number, self.now)
-                job = self.choice.jobs[id]
-                took = job.run * self.draw.uniform(0.5, 1.5) * (1.0 + 0.2 * len(self.out) / self.engines)
+                job = self.choice.queries[id]
+                took = job.run_time * self.draw.uniform(0.5, 1.5) * (1.0 + 0.2 * len(self.out) / self.engines)
                 bad = self.draw.random() < (0.4 if engine == "e1" else 0.02)
                 outcome = self.draw.choice(FAULTS) if bad else api.Outcome.OK
                 took = 0.01 if outcome in (api.Outcome.ERROR, api.Outcome.FULL) else took
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -69,7 +69,9 @@
     def noted(self, gateway: Gateway, out: list[Send]) -> list[Send]:
         for send in out:
             if send.engine in self.cold:
-                self.sent[send.engine].append((self.now, WORK[gateway.choice.jobs[send.id].cls.name] / MEAN))
+                self.sent[send.engine].append(
+                    (self.now, WORK[gateway.choice.queries[send.id].cls.name] / MEAN)
+                )
         return out
 
     def over(self) -> float:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -352,7 +352,7 @@
     engine.sendall(answer(1))
     stage.run()
     assert answers_in(waiting(usual))[0][1:3] == [1, None]
-    assert not any(node.faults or node.ejected_at is not None for node in stage.nodes())
+    assert not any(node.fault_rate or node.ejected_at is not None for node in stage.nodes())
     dials = stage.runtime._router._log.dials
     stage.run(1.0)
     assert stage.runtime._router._log.dials > dials  # the log is asked for all the same
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -79,8 +79,8 @@
     for outcome, back in ((Outcome.RESET, True), (Outcome.CONNECT_FAILED, False)):
         gateway = asking()
         [send] = sends(gateway.ask(work=0.1, id="a"))
-        lost = gateway.choice.nodes[send.engine]
-        lost.faults = 1.0
+        lost = gateway.choice.engines[send.engine]
+        lost.fault_rate = 1.0
         gateway.end(send, outcome)
         assert lost.ejected_at is not None
         gateway.now += 30.0
@@ -96,10 +96,10 @@
     note(gateway, send.engine, 0.1)
     [cancel] = cancels(gateway.sweep(102.0))
     assert (cancel.id, cancel.attempt) == ("a", 0)
-    slow = gateway.choice.nodes[send.engine].slow
+    slow = gateway.choice.engines[send.engine].slowdown
     [again] = sends(gateway.end(send, Outcome.CANCELLED, 2.0))
     assert again.engine != send.engine
-    assert gateway.choice.nodes[send.engine].slow <= slow  # a bad plan is no fault of the engine
+    assert gateway.choice.engines[send.engine].slowdown <= slow  # a bad plan is no fault of the engine
 
 
 def test_an_attempt_that_is_soon_done_or_must_not_run_twice_is_left_alone() -> None:
@@ -115,9 +115,9 @@
 def test_a_lost_answer_is_asked_for_again_without_blaming_an_engine_that_is_heard() -> None:
     gateway = Gateway(make_settings(balancers=100), engines=3)
     [send] = sends(gateway.ask("long", wait=20.0, work=1.5, id="a"))
-    node = gateway.choice.nodes[send.engine]
+    node = gateway.choice.engines[send.engine]
     for step in range(1, 40):
-        node.heard = gateway.now
+        node.heard_at = gateway.now
         if cancels(gateway.sweep(100.0 + step * 0.1)):
             break
     assert node.ejected_at is None
@@ -128,7 +128,7 @@
 def test_a_jam_that_slows_its_engine_does_not_call_an_attempt_off() -> None:
     gateway = Gateway(make_settings(progress_period=2.0), engines=3)
     [send] = sends(gateway.ask("long", wait=20.0, work=3.0, id="a"))
-    gateway.choice.nodes[send.engine].slow = 4.0
+    gateway.choice.engines[send.engine].slowdown = 4.0
     gateway.now += 2.0
     note(gateway, send.engine, 0.15)
     assert not cancels(gateway.sweep(102.0))
@@ -138,8 +138,8 @@
 def test_a_bad_plan_is_called_off_where_its_engine_is_not_slow(slow: float, off: bool) -> None:
     gateway = Gateway(make_settings(), engines=3)
     [send] = sends(gateway.ask("long", wait=20.0, work=1.5, id="a"))
-    node = gateway.choice.nodes[send.engine]
-    node.heard, node.slow = 101.6, slow
+    node = gateway.choice.engines[send.engine]
+    node.heard_at, node.slowdown = 101.6, slow
     assert not cancels(gateway.sweep(101.4))
     assert [c.id for c in cancels(gateway.sweep(101.7))] == (["a"] if off else [])
     assert node.ejected_at is None
@@ -147,7 +147,7 @@
 
 def test_an_engine_whose_reports_all_stand_still_is_left_once_it_is_silent() -> None:
     gateway = Gateway(make_settings(), engines=3)
-    node = gateway.choice.nodes["e0"]
+    node = gateway.choice.engines["e0"]
     for _ in range(12):
         for send in sends(gateway.ask("long", wait=20.0, work=0.3)):
             if send.engine != "e0":
@@ -166,7 +166,7 @@
     gateway = Gateway(replace(config, rules=replace(config.rules, attempt_budget=budget)), engines=3)
     [send] = sends(gateway.ask("long", wait=20.0, work=1.5, id="a"))
     for step in range(1, 40):
-        gateway.choice.nodes[send.engine].heard = gateway.now
+        gateway.choice.engines[send.engine].heard_at = gateway.now
         assert not cancels(gateway.sweep(100.0 + step * 0.1))
 
 
@@ -174,7 +174,7 @@
     gateway = Gateway(make_settings(classes=(SHORT, LONG, ORDERED), balancers=6), engines=1)
     [first] = sends(gateway.ask("load", wait=20.0, work=1.0, key="k", id="a"))
     assert not gateway.ask("load", wait=20.0, work=1.0, key="k", id="b")[1:]
-    assert gateway.choice._load() == 0.0 and gateway.choice.backlog() == 0.0
+    assert gateway.choice._load_factor() == 0.0 and gateway.choice.backlog() == 0.0
     assert not finals(gateway.sweep(100.5))
     assert [s.id for s in sends(gateway.end(first, Outcome.OK, work=1.0))] == ["b"]
 
@@ -187,12 +187,12 @@
 
 def test_a_part_below_one_long_query_is_kept_on_average() -> None:
     gateway = Gateway(make_settings(balancers=100), engines=6)
-    gateway.choice.crowd = 3.0
+    gateway.choice.lasting_slowdown = 3.0
     [send] = sends(gateway.ask("long", wait=20.0, work=1.0, id="a"))
     assert not sends(gateway.ask("long", wait=20.0, work=1.0, id="b"))
     gateway.now += 3.0
     gateway.end(send, Outcome.OK, 3.0, work=1.0)
-    assert gateway.choice.long_lately > 0 and gateway.choice.held[1]
+    assert gateway.choice.mean_long_threads > 0 and gateway.choice.queues[1]
     assert sends(gateway.ask(work=0.1))  # a short one passes meanwhile
     assert any(sends(gateway.sweep(103.0 + step)) for step in range(1, 9))
 
@@ -204,8 +204,8 @@
             memory_granted=True, overbooked=Overbooked.SHRINK, kinds=(EngineKind("medium", 8.0, 16000.0),)
         )
         gateway = Gateway(config, engines=2)
-        gateway.choice.memories[1].spread = 0.5
-        gateway.choice.fill = fill
+        gateway.choice.memory_corrections[1].spread = 0.5
+        gateway.choice.memory_fill = fill
         [terms] = [
             a for a in gateway.ask("long", wait=20.0, work=1.0, memory_mb=100.0) if isinstance(a, SetTerms)
         ]
@@ -227,10 +227,10 @@
     gateway = Gateway(make_settings(progress_period=2.0, may_health_check=True, balancers=100), engines=2)
     [send] = sends(gateway.ask(work=0.1, id="a"))
     gateway.end(send, Outcome.OK, work=0.1)
-    assert not finals(gateway.end(send, Outcome.ERROR)) and not gateway.choice.jobs  # told twice
+    assert not finals(gateway.end(send, Outcome.ERROR)) and not gateway.choice.queries  # told twice
     note(gateway, send.engine, 0.1)  # on what is over, and on what never was
     note(gateway, "nowhere", 0.0, id="b", attempt=7)
     assert not gateway.do(HealthCheckEnded("nowhere", 0.001, Outcome.OK))
     gateway.tell(Engine("odd", "unheard-of", weight=0.0), how=ListKind.CHANGES)
-    assert gateway.choice.nodes["odd"].cores == 8.0  # an unknown kind counts as the first one
+    assert gateway.choice.engines["odd"].cores == 8.0  # an unknown kind counts as the first one
     assert {s.engine for _ in range(9) for s in sends(gateway.ask(work=0.1))} >= {"odd"}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -38,7 +38,7 @@
         for index, gateway in enumerate(gateways):
             gateway.now += balancers / 800  # half of what all can do
             for send in sends(gateway.ask(work=0.1, id=f"{index}-{step}")):
-                cold = gateway.choice._warming_up(gateway.choice.nodes[send.engine])
+                cold = gateway.choice._warming_up(gateway.choice.engines[send.engine])
                 work[cold] += 0.1
                 gateway.end(send, Outcome.OK, 0.1 / 0.44 if cold else 0.1)
     part = work[True] / (work[True] + work[False])
@@ -50,7 +50,7 @@
     # One engine of two is cold; after a silence many times what both can do is asked at once.
     gateways, sent = fleet(balancers, cold=1, engines=2), 0.0
     for gateway in gateways:  # they know what is usual
-        gateway.choice.usual, gateway.choice.seen = [0.1, 1.0, 1.0], [50, 50, 0]
+        gateway.choice.typical_work, gateway.choice.class_counts = [0.1, 1.0, 1.0], [50, 50, 0]
     for step in range(20):
         for index, gateway in enumerate(gateways):
             gateway.now += 3.0 / 20
@@ -65,7 +65,7 @@
 
 def test_an_engine_that_is_slow_for_being_cold_shows_no_pressure_and_no_crowd() -> None:
     gateway = fleet(40, cold=1, engines=1)[0]
-    node = gateway.choice.nodes["e0"]
+    node = gateway.choice.engines["e0"]
     for _ in range(20):
         gateway.now += 30.0 - gateway.now % 30.0  # so little comes that the cold budget is in no way
         out = sends(gateway.ask(work=0.1))
@@ -74,7 +74,7 @@
         [send] = out
         gateway.now += 0.1 / 0.44
         gateway.end(send, Outcome.OK, 0.1 / 0.44)
-    assert not gateway.choice._pressure(node) and gateway.choice.crowd < 1.2
+    assert not gateway.choice._under_pressure(node) and gateway.choice.lasting_slowdown < 1.2
 
 
 def test_a_query_on_a_cold_engine_is_called_off_no_sooner_than_its_pace_tells() -> None:
@@ -84,9 +84,9 @@
     )
     gateway, send = next((gateway, sent[0]) for gateway, sent in asked if sent)
     gateway.sweep(gateway.now + 4.0)
-    assert not gateway.choice.jobs[send.id].cancelled
+    assert not gateway.choice.queries[send.id].cancelled
     gateway.sweep(gateway.now + 4.0)
-    assert gateway.choice.jobs[send.id].cancelled
+    assert gateway.choice.queries[send.id].cancelled
 
 
 def test_repeats_make_no_gateway_think_itself_busier_than_the_others() -> None:
@@ -100,7 +100,7 @@
                 gateway.ask(work=0.1, tenant="a", wait=4.0 - is_client_retry, is_client_retry=is_client_retry)
             ):
                 gateway.end(send, Outcome.OK, 0.1)
-        parts.append(gateway.choice.part)
+        parts.append(gateway.choice.traffic_ratio)
     assert parts[0] == 1.0 and parts[1] > 2.0
 
 
@@ -116,7 +116,7 @@
                 gateway.end(send, Outcome.CANCELLED, 3.5)
         for _ in range(12):
             gateway.ask("long", wait=20.0, work=3.0)
-        threads += sum(node.threads for node in gateway.choice.nodes.values())
+        threads += sum(node.threads for node in gateway.choice.engines.values())
     assert 0 < threads <= 2.0 * 8 * ENGINES * 1.5
 
 
@@ -128,12 +128,14 @@
     def cold_part() -> float:
         choice.handle(gateway.now, [])
         gateway.ask(work=0.1)
-        return choice.cold_part
+        return choice.warming_fraction
 
     before = cold_part()
     for outcome, latency in [(Outcome.OK, 3.0)] * 30 + [(Outcome.ERROR, 0.001)] * 30:
         for send in sends(gateway.ask("long", wait=20.0, work=3.0)):
-            slow = latency if not choice._warming_up(choice.nodes[send.engine]) else min(latency, 1.0 / 0.44)
+            slow = (
+                latency if not choice._warming_up(choice.engines[send.engine]) else min(latency, 1.0 / 0.44)
+            )
             gateway.end(send, outcome, slow)
     assert cold_part() > 1.5 * before
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -34,7 +34,7 @@
                 gateway.do(ClientDisconnected(send.id))
                 gateway.end(send, Outcome.CANCELLED)
         gateway.now += 2.0
-    held = [len(node.held_until) for node in gateway.choice.nodes.values()]
+    held = [len(node.locked_until) for node in gateway.choice.engines.values()]
     assert sum(held) and max(held) <= 2
 
 
@@ -73,6 +73,6 @@
     assert dialled > LIVES / 2
     held: dict[str, Any] = {**vars(player._router), **vars(player._router._choice)}
     sizes = {name: len(value) for name, value in held.items() if hasattr(value, "__len__")}
-    bounded = {"sets": 1024, "_timers": 2000, "_clients": 100}  # the last two: 20 s, 8 s
+    bounded = {"data_set_rates": 1024, "_timers": 2000, "_clients": 100}  # the last two: 20 s, 8 s
     assert {name: size for name, size in sizes.items() if size > bounded.get(name, 10)} == {}
     assert len(player.clients) <= 100 and len(player.links) <= 10
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -7,7 +7,7 @@
 from conftest import LONG, SHORT, Gateway, cancels, finals, make_settings, sends
 
 from grebeproxy import Settings
-from grebeproxy.policy.lifecycle import MUTE, STILLS
+from grebeproxy.policy.lifecycle import SUSPECT_SILENCE, STALLS_TO_SUSPECT
 from grebeproxy.policy.interface import (
     EngineKind,
     Outcome,
@@ -39,7 +39,7 @@
     for _ in range(60):
         for send in sends(gateway.ask(work=0.1)):
             gateway.end(send, Outcome.ERROR)
-    assert sum(e.ejected_at is None for e in gateway.choice.nodes.values()) >= 3
+    assert sum(e.ejected_at is None for e in gateway.choice.engines.values()) >= 3
 
 
 def test_a_silent_engine_is_left_and_its_queries_go_elsewhere(settings: Settings) -> None:
@@ -79,7 +79,7 @@
     [send] = sends(gateway.ask(work=0.1))
     assert not sends(gateway.end(send, Outcome.FULL))
     assert sends(gateway.sweep(100.2))
-    assert gateway.choice._pressure(gateway.choice.nodes["e0"])
+    assert gateway.choice._under_pressure(gateway.choice.engines["e0"])
 
 
 def test_a_time_out_at_an_engine_that_answers_others_is_no_fault(settings: Settings) -> None:
@@ -90,7 +90,7 @@
     gateway.now += 0.5
     gateway.end(quick, Outcome.OK, work=0.1)
     gateway.end(slow, Outcome.TIMEOUT)
-    assert gateway.choice.nodes[slow.engine].faults == 0.0
+    assert gateway.choice.engines[slow.engine].fault_rate == 0.0
 
 
 def test_a_long_jam_does_not_become_normal(settings: Settings) -> None:
@@ -98,7 +98,7 @@
     for step in range(300):
         for send in sends(gateway.ask(work=0.1)) or sends(gateway.sweep(100.0 + step)):
             gateway.end(send, Outcome.OK, 0.8, work=0.1)
-    assert gateway.choice._pressure(gateway.choice.nodes["e0"])
+    assert gateway.choice._under_pressure(gateway.choice.engines["e0"])
 
 
 def test_what_an_engines_memory_cannot_take_is_held() -> None:
@@ -111,9 +111,9 @@
 def test_a_lookup_whose_aim_has_passed_frees_its_engine() -> None:
     gateway = Gateway(make_settings(max_attempts=1), engines=1)
     gateway.ask(work=0.1, id="a")
-    node = gateway.choice.nodes["e0"]
+    node = gateway.choice.engines["e0"]
     for step in range(1, 40):
-        node.heard = gateway.now
+        node.heard_at = gateway.now
         actions = gateway.sweep(100.0 + step * 0.05)
         if finals(actions):
             break
@@ -127,7 +127,7 @@
         for _ in range(5):
             gateway.ask(wait=3.6, work=0.1)  # first tries have nine tenths of the deadline
         gateway.ask(wait=3.4, work=0.1, id="repeat", is_client_retry=marked)
-        assert abs(gateway.choice.jobs["repeat"].began - 99.4) < 1e-6
+        assert abs(gateway.choice.queries["repeat"].arrived_at - 99.4) < 1e-6
 
 
 def test_traffic_past_a_share_goes_first_when_others_would_wait() -> None:
@@ -135,7 +135,7 @@
     gateway = Gateway(make_settings(tenants=tenants, over_quota_weight=0.05), engines=1)
     calm = [finals(gateway.ask(work=0.1, tenant="a")) for _ in range(10)]
     assert not any(calm)
-    gateway.choice.nodes["e0"].shut_until = 200.0
+    gateway.choice.engines["e0"].closed_until = 200.0
     for _ in range(3):
         assert not finals(gateway.ask(work=0.1, tenant="b"))
     crowded = [bool(finals(gateway.ask(work=0.01, tenant=t))) for t in ("a", "b", "a")]
@@ -144,22 +144,22 @@
 
 def test_traffic_past_a_share_leaves_after_what_is_within() -> None:
     gateway = Gateway(make_settings(tenants=(Tenant("a", 1.0),), over_quota_weight=0.05), engines=1)
-    gateway.choice.nodes["e0"].shut_until = 100.5
+    gateway.choice.engines["e0"].closed_until = 100.5
     gateway.ask(work=0.1, tenant="a", id="within")
     gateway.choice.now = 101.0
-    jobs = gateway.choice.jobs
+    jobs = gateway.choice.queries
     jobs["within"].over_quota, before = True, gateway.choice._priority(jobs["within"], 0.0)
     assert gateway.choice._priority(jobs["within"], 0.0) < before
 
 
 def test_too_much_held_goes_by_worth_for_the_work(settings: Settings) -> None:
     gateway = Gateway(settings, engines=1)
-    gateway.choice.nodes["e0"].shut_until = 200.0
+    gateway.choice.engines["e0"].closed_until = 200.0
     for i, work in enumerate((2.0, 30.0, 3.0, 4.0)):
         gateway.ask("long", wait=20.0, work=work, id=f"q{i}")
     refused = [a.id for a in finals(gateway.sweep(100.1))]
     assert refused[0] == "q1"
-    assert "q0" in gateway.choice.jobs
+    assert "q0" in gateway.choice.queries
 
 
 def test_estimates_follow_what_answers_bill(settings: Settings) -> None:
@@ -168,7 +168,7 @@
         [send] = sends(gateway.ask(work=0.1))
         gateway.end(send, Outcome.OK, 0.3, work=0.3)
     gateway.ask(work=0.1, id="x")
-    assert 0.25 < gateway.choice.jobs["x"].work < 0.35
+    assert 0.25 < gateway.choice.queries["x"].work < 0.35
 
 
 def test_terms_name_rank_and_a_roomy_grant() -> None:
@@ -199,7 +199,7 @@
     for _ in range(5):
         gateway.ask(work=0.1, tenant="a", wait=3.0, is_client_retry=True)
     gateway.ask(work=0.1, tenant="a", id="second")
-    assert not gateway.choice.jobs["second"].over_quota
+    assert not gateway.choice.queries["second"].over_quota
 
 
 def test_errors_of_queries_that_no_engine_can_use_eject_nobody() -> None:
@@ -208,7 +208,7 @@
         [send] = sends(gateway.ask(id=f"bad{number}"))
         while again := sends(gateway.end(send, Outcome.ERROR)):
             [send] = again
-    assert all(node.ejected_at is None for node in gateway.choice.nodes.values())
+    assert all(node.ejected_at is None for node in gateway.choice.engines.values())
 
 
 def test_errors_of_queries_that_another_engine_answers_eject() -> None:
@@ -220,22 +220,24 @@
             [send] = sends(gateway.end(send, Outcome.ERROR))
         gateway.end(send, Outcome.OK)
         [send] = sends(gateway.ask())
-    assert gateway.choice.nodes[faulty].ejected_at is not None
+    assert gateway.choice.engines[faulty].ejected_at is not None
 
 
 def test_several_queries_that_stand_still_eject_an_engine_only_if_it_is_silent() -> None:
     gateway = Gateway(make_settings(classes=(replace(SHORT, waits_for_loads=True), LONG)), engines=3)
-    node = gateway.choice.nodes["e0"]
-    for number in range(STILLS):
-        node.warm[number] = None  # draws the query here
+    node = gateway.choice.engines["e0"]
+    for number in range(STALLS_TO_SUSPECT):
+        node.cached_data_sets[number] = None  # draws the query here
         [send] = sends(gateway.ask(data_set=number, work=0.01))
         assert send.engine == "e0"
         assert [c.id for c in cancels(gateway.sweep(gateway.now + 0.35))] == [send.id]
         [again] = sends(gateway.end(send, Outcome.CANCELLED, 0.35))
         gateway.end(again, Outcome.OK, 0.01)
     gateway.sweep(gateway.now + 0.01)
-    assert node.still == STILLS and node.ejected_at is None  # loads may hold all that was asked of it
-    gateway.sweep(100.01 + MUTE * SHORT.latency_objective)
+    assert (
+        node.stalled_queries == STALLS_TO_SUSPECT and node.ejected_at is None
+    )  # loads may hold all that was asked of it
+    gateway.sweep(100.01 + SUSPECT_SILENCE * SHORT.latency_objective)
     assert node.ejected_at is not None
 
 
@@ -243,7 +245,7 @@
     gateway = Gateway(settings, engines=3)
     out = [send for _ in range(12) for send in sends(gateway.ask("long", wait=20.0, work=0.1))]
     lost = [send for send in out if send.engine == "e0"]
-    node = gateway.choice.nodes["e0"]
+    node = gateway.choice.engines["e0"]
     gateway.now += 0.1
     for send in lost:
         gateway.end(send, Outcome.RESET)
@@ -255,9 +257,9 @@
     gateway = Gateway(settings, engines=3)
     out = [send for _ in range(9) for send in sends(gateway.ask("long", wait=20.0, work=0.1))]
     failed, *late = [send for send in out if send.engine == "e0"]
-    node = gateway.choice.nodes["e0"]
+    node = gateway.choice.engines["e0"]
     gateway.end(failed, Outcome.CONNECT_FAILED)
-    backoff = node.backoff
+    backoff = node.ejection_backoff
     for send in late:
         gateway.end(send, Outcome.TIMEOUT, 2.0)
-    assert late and node.ejected_at is not None and node.backoff == backoff
+    assert late and node.ejected_at is not None and node.ejection_backoff == backoff
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -9,20 +9,20 @@
 
 from grebeproxy import Settings
 from grebeproxy.policy.interface import AttemptEnded, Outcome, Query
-from grebeproxy.policy.records import Job
+from grebeproxy.policy.records import Estimate, QueryRecord
 
 
-def held_job(gateway: Gateway, cls: str, began: float, work: float = 0.5) -> Job:
+def held_job(gateway: Gateway, cls: str, began: float, work: float = 0.5) -> QueryRecord:
     choice = gateway.choice
-    definition = choice.order[choice.rank[cls]]
+    definition = choice.classes[choice.class_rank[cls]]
     query = Query(f"h-{cls}-{began}", cls, began + definition.deadline)
-    return Job(query, definition, choice.rank[cls], began, work, 0.0)
+    return QueryRecord(query, definition, choice.class_rank[cls], began, Estimate(work, 0.0))
 
 
 def test_classes_are_ranked_by_tightness_of_aim(settings: Settings) -> None:
     choice = Gateway(settings).choice
-    assert choice.rank == {"short": 0, "long": 1, "load": 2}
-    assert choice.weight[0] > choice.weight[1] > choice.weight[2]
+    assert choice.class_rank == {"short": 0, "long": 1, "load": 2}
+    assert choice.rank_weight[0] > choice.rank_weight[1] > choice.rank_weight[2]
 
 
 def test_quiet_is_arrival_order(settings: Settings) -> None:
@@ -39,9 +39,9 @@
 
 def test_gap_between_neighbours_outweighs_a_short_deadline_of_urgency(settings: Settings) -> None:
     choice = Gateway(settings).choice
-    urgency = SHORT.deadline / choice.tight.deadline
-    for upper, lower in zip(choice.weight, choice.weight[1:], strict=False):
-        assert choice.gap * (upper - lower) > urgency
+    urgency = SHORT.deadline / choice.tightest_class.deadline
+    for upper, lower in zip(choice.rank_weight, choice.rank_weight[1:], strict=False):
+        assert choice.priority_gap * (upper - lower) > urgency
 
 
 def test_starvation_is_bounded_by_age(settings: Settings) -> None:
@@ -56,7 +56,7 @@
     seen = []
     for _ in range(200):
         gateway.ask(work=0.1)
-        seen.append(gateway.choice._load())
+        seen.append(gateway.choice._load_factor())
     assert seen[0] < 1e-9 and seen[-1] == 1.0
     assert seen == sorted(seen)
 
@@ -64,13 +64,13 @@
 def test_a_few_heavy_held_queries_do_not_read_as_quiet(settings: Settings) -> None:
     light, heavy = Gateway(settings, engines=2), Gateway(settings, engines=2)
     for gateway in (light, heavy):
-        gateway.choice.seen, gateway.choice.usual = [80, 15, 5], [0.1, 3.0, 3.0]
-        for node in gateway.choice.nodes.values():
-            node.shut_until = gateway.now + 10.0
+        gateway.choice.class_counts, gateway.choice.typical_work = [80, 15, 5], [0.1, 3.0, 3.0]
+        for node in gateway.choice.engines.values():
+            node.closed_until = gateway.now + 10.0
     for _ in range(3):
         light.ask(work=0.1)
         heavy.ask("long", wait=20.0, work=9.0)
-    assert heavy.choice._load() > light.choice._load()
+    assert heavy.choice._load_factor() > light.choice._load_factor()
 
 
 def test_the_bound_binds_only_under_pressure(settings: Settings) -> None:
@@ -89,7 +89,7 @@
     gateway.crowd()
     for _ in range(20):
         gateway.ask("long", wait=20.0, work=0.3)
-    node = gateway.choice.nodes["e0"]
+    node = gateway.choice.engines["e0"]
     assert node.long_threads == node.threads > 0
     assert len(sends(gateway.ask(work=0.1))) == 1
 
@@ -105,12 +105,12 @@
 
 def test_high_latency_is_pressure(settings: Settings) -> None:
     gateway = Gateway(settings, engines=1)
-    node = gateway.choice.nodes["e0"]
+    node = gateway.choice.engines["e0"]
     for latency, pressed in ((0.2, False), (5.0, True)):
         for _ in range(8):
             [send] = sends(gateway.ask("long", wait=20.0, work=0.6))
             gateway.end(send, Outcome.OK, latency, work=0.6)
-        assert gateway.choice._pressure(node) is pressed
+        assert gateway.choice._under_pressure(node) is pressed
 
 
 def test_refusing_for_slowness_ends_when_nothing_is_out(settings: Settings) -> None:
@@ -187,8 +187,8 @@
 def waiting() -> Gateway:
     """Two engines, both of which have read a data set; short queries wait for loads on it."""
     gateway = Gateway(waiting_settings())
-    for node in gateway.choice.nodes.values():
-        node.warm[7] = None
+    for node in gateway.choice.engines.values():
+        node.cached_data_sets[7] = None
     return gateway
 
 
@@ -225,8 +225,8 @@
             gateway.now += 0.3
             [send] = sends(gateway.ask("load", wait=4.0, data_set=7, work=0.8))
             gateway.end(send, Outcome.OK, work=0.8)
-            gateway.choice.nodes[send.engine].warm.clear()
-        assert gateway.choice._homes(7)[0] == 4.0
+            gateway.choice.engines[send.engine].cached_data_sets.clear()
+        assert gateway.choice._home_engines(7)[0] == 4.0
         first.add(send.engine)
     assert len(first) == 3
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -71,14 +71,14 @@
     [send] = sends(gateway.ask(id="a", work=0.1))
     gateway.now += 4.0
     assert len(finals(gateway.end(send, Outcome.TIMEOUT))) == 1
-    assert not gateway.choice.jobs
+    assert not gateway.choice.queries
 
 
 def test_nothing_follows_when_the_client_has_left(settings: Settings) -> None:
     gateway = Gateway(settings)
     [send] = sends(gateway.ask(id="a", work=0.1))
     assert not gateway.do(ClientDisconnected("a"))[1:]
-    assert not finals(gateway.end(send, Outcome.ERROR)) and not gateway.choice.jobs
+    assert not finals(gateway.end(send, Outcome.ERROR)) and not gateway.choice.queries
 
 
 # 2: no effect twice
@@ -114,7 +114,8 @@
         gateway.tell(Engine("e0", "medium", "a", 0), Engine("e1", "medium", "b", 1))
         [send] = sends(gateway.ask("load", wait=8.0, work=1.0, id="x"))
         gateway.tell(
-            replace(gateway.choice.nodes[send.engine].entry, state=EngineState.DRAINING), how=ListKind.CHANGES
+            replace(gateway.choice.engines[send.engine].entry, state=EngineState.DRAINING),
+            how=ListKind.CHANGES,
         )
         assert not sends(gateway.end(send, Outcome.ERROR))
         ends = [a for i in range(100) for a in finals(gateway.sweep(100.0 + i * 0.08))]
@@ -165,15 +166,15 @@
 def test_a_long_query_waits_for_a_warm_engine() -> None:
     gateway = Gateway(make_settings(balancers=4), engines=0)
     gateway.tell(Engine("cold", "medium", started=99.0), Engine("warm", "medium"))
-    gateway.choice.usual = [0.1, 9.0, 9.0]
+    gateway.choice.typical_work = [0.1, 9.0, 9.0]
     assert {s.engine for _ in range(6) for s in sends(gateway.ask("long", wait=20.0, work=2.0))} == {"warm"}
 
 
 def test_an_engine_that_restarts_under_its_old_id_is_cold(settings: Settings) -> None:
     gateway = Gateway(settings)
     gateway.tell(Engine("e0", "medium", started=99.5), how=ListKind.CHANGES)
-    assert gateway.choice._warming_up(gateway.choice.nodes["e0"])
-    assert not gateway.choice._warming_up(gateway.choice.nodes["e1"])
+    assert gateway.choice._warming_up(gateway.choice.engines["e0"])
+    assert not gateway.choice._warming_up(gateway.choice.engines["e1"])
 
 
 def test_an_engine_that_was_unreachable_counts_as_cold_whatever_the_list_says(settings: Settings) -> None:
@@ -182,7 +183,7 @@
     gateway.end(send, Outcome.CONNECT_FAILED)
     [trial] = sends(gateway.sweep(102.0)) or sends(gateway.ask(work=0.1, id="b"))
     gateway.end(trial, Outcome.OK, work=0.1)
-    assert gateway.choice._warming_up(gateway.choice.nodes["e0"])
+    assert gateway.choice._warming_up(gateway.choice.engines["e0"])
 
 
 # 5: order
@@ -292,7 +293,7 @@
         for action in actions:
             if isinstance(action, Send):
                 query = queries[action.id]
-                cls = choice.order[choice.rank[query.cls]]
+                cls = choice.classes[choice.class_rank[query.cls]]
                 past = attempts[action.id]
                 assert not answered[action.id] and action.id not in out and now < query.due
                 assert state[action.engine] is EngineState.UP
@@ -310,7 +311,7 @@
                 out[action.id] = (action.engine, len(past))
                 past.append((now, None))
             elif isinstance(action, Reject | Fail):
-                cls = choice.order[choice.rank[queries[action.id].cls]]
+                cls = choice.classes[choice.class_rank[queries[action.id].cls]]
                 may_run = [how for _, how in attempts[action.id] if how is None or not how.never_ran]
                 if isinstance(action, Reject):
                     assert cls.idempotency is not Idempotency.NON_IDEMPOTENT or not may_run
@@ -402,4 +403,4 @@
             finish(query_id, Outcome.TIMEOUT)
         check(choice.handle(now, [TimerFired("sweep")]))
     assert all(count == 1 for count in answered.values())
-    assert not choice.jobs and not cancels(choice.handle(now, []))
+    assert not choice.queries and not cancels(choice.handle(now, []))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -35,7 +35,7 @@
     for index in range(balancers):
         choice = Choice(make_settings(balancers=balancers, index=index), 0.0, 1)
         choice.handle(0.0, [EngineList(ListKind.FULL, (Engine(engine, "medium"),))])
-        total += choice._quota_of_queries(choice.nodes[engine], whole)
+        total += choice._share_in_queries(choice.engines[engine], whole)
     assert total == int(whole)
 
 
@@ -57,9 +57,9 @@
     sent = []
     for index in range(40):  # to some there is dealt nothing
         calm, slow = gateway_of(200, index), gateway_of(200, index)
-        slow.choice.pool = 4.0
-        for node in slow.choice.nodes.values():
-            node.slow = 4.0
+        slow.choice.fleet_slowdown = 4.0
+        for node in slow.choice.engines.values():
+            node.slowdown = 4.0
         assert sum(len(sends(calm.ask("long", wait=20.0, work=2.0))) for _ in range(8)) == 8
         sent.append(sum(len(sends(slow.ask("long", wait=20.0, work=2.0))) for _ in range(8)))
     assert max(sent) < 4 and sum(sent) > 5
@@ -67,9 +67,9 @@
 
 def test_a_single_heavy_query_is_held_and_not_refused() -> None:
     gateway = gateway_of(200)
-    for node in gateway.choice.nodes.values():
-        node.shut_until = gateway.now + 100.0
-    gateway.choice.usual = [0.1, 3.5, 3.5]
+    for node in gateway.choice.engines.values():
+        node.closed_until = gateway.now + 100.0
+    gateway.choice.typical_work = [0.1, 3.5, 3.5]
     assert not finals(gateway.ask("long", wait=20.0, work=3.5))
     assert not finals(gateway.sweep(100.3))
 
@@ -105,9 +105,9 @@
         gateway = Gateway(make_settings(balancers=200, index=index), engines=0)
         cold = Engine("e0", "medium", started=99.0)
         gateway.tell(cold, *(Engine(f"e{i}", "medium") for i in range(1, engines)))
-        gateway.choice.usual, gateway.choice.seen = [work] * 3, [50] * 3
-        for name, node in gateway.choice.nodes.items():
-            node.shut_until = gateway.now + 100.0 if name != "e0" else 0.0
+        gateway.choice.typical_work, gateway.choice.class_counts = [work] * 3, [50] * 3
+        for name, node in gateway.choice.engines.items():
+            node.closed_until = gateway.now + 100.0 if name != "e0" else 0.0
         for number in range(max(1, round(asked / work / 200))):
             sent += work * len(sends(gateway.ask(cls, wait=20.0, work=work, id=f"{index}-{number}")))
         for _ in range(9):
@@ -126,7 +126,7 @@
     gateway = Gateway(make_settings(balancers=100, tenants=(Tenant("a", 100.0),), over_quota_weight=0.05))
     for i in range(3):
         gateway.ask(work=0.1, tenant="a", id=f"a{i}")
-    assert not any(job.over_quota for job in gateway.choice.jobs.values())
+    assert not any(job.over_quota for job in gateway.choice.queries.values())
 
 
 def test_what_comes_back_too_late_for_a_sweep_is_answered_at_once() -> None:
@@ -142,9 +142,9 @@
     for _ in range(20):
         [timer] = [a for a in actions if isinstance(a, SetTimer)]
         actions = gateway.sweep(gateway.now + timer.delay - 1e-7)
-        if not gateway.choice.jobs:
+        if not gateway.choice.queries:
             break
-    assert not gateway.choice.jobs or any(isinstance(a, SetTimer) for a in actions)
+    assert not gateway.choice.queries or any(isinstance(a, SetTimer) for a in actions)
 
 
 @pytest.mark.parametrize("index", [-1, 200])
@@ -164,9 +164,9 @@
 def test_what_was_given_up_tells_of_a_slow_engine() -> None:
     gateway = gateway_of(200, engines=2)
     [send] = sends(gateway.ask("long", wait=20.0, work=0.9))
-    before = gateway.choice.nodes[send.engine].slow
+    before = gateway.choice.engines[send.engine].slowdown
     gateway.end(send, Outcome.CANCELLED, 5.0)
-    assert gateway.choice.nodes[send.engine].slow > before
+    assert gateway.choice.engines[send.engine].slowdown > before
 
 
 def test_reported_memory_keeps_gateways_off_a_full_engine_and_absent_reports_change_nothing() -> None:
@@ -213,7 +213,7 @@
 
 
 def test_few_of_the_many_keep_to_more_engines_than_their_part_of_all() -> None:
-    near = [gateway_of(6, index, engines=60).choice.near for index in range(6)]
+    near = [gateway_of(6, index, engines=60).choice.window_engines for index in range(6)]
     assert {len(engines) for engines in near} == {30} and len(set().union(*near)) == 60
 
 
@@ -221,9 +221,9 @@
     changed = 0
     for index in range(50):
         gateway = gateway_of(50, index)
-        before = gateway.choice.near
+        before = gateway.choice.window_engines
         gateway.tell(Engine("e7", "medium", state=EngineState.GONE), how=ListKind.CHANGES)
-        changed += len(gateway.choice.near - before)
+        changed += len(gateway.choice.window_engines - before)
     assert 0 < changed <= 2 * 50
 
 
@@ -237,9 +237,9 @@
             for number, tenant in enumerate(asks):
                 gateway.now += 1.0 / 12.0
                 for send in sends(gateway.ask(work=0.1, tenant=tenant, id=f"{second}-{number}")):
-                    over += second > 4 and gateway.choice.jobs[send.id].over_quota  # it takes some to tell
+                    over += second > 4 and gateway.choice.queries[send.id].over_quota  # it takes some to tell
                     gateway.end(send, Outcome.OK, 0.1, work=0.1)
-        found[name] = over, len(gateway.choice.near)
+        found[name] = over, len(gateway.choice.window_engines)
     assert found["all"][0] < 30 and found["all"][1] > 30  # of 60 queries, and of 34 engines
     assert found["one"][0] > 40 and found["one"][1] < 24
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from grebeproxy.policy.dealing import Ring, Seats
+from grebeproxy.policy.hash_ring import HashRing, RouterPositions
 from grebeproxy.policy.interface import (
     ManualOverridesChanged,
     Engine,
@@ -23,14 +23,14 @@
     Send,
 )
 from grebeproxy.policy.placement import Placement
-from grebeproxy.policy.subset import SIZE, WIDEST
+from grebeproxy.policy.subset import MIN_WINDOW, MAX_EXTENSION
 
 ROUTERS, ENGINES = 200, 400
 ZONES = tuple(f"zone-{n}" for n in range(6))
 
 
-def ring_of(engines: int) -> tuple[Ring, list[str]]:
-    ring, names = Ring(), [f"e{n}" for n in range(engines)]
+def ring_of(engines: int) -> tuple[HashRing, list[str]]:
+    ring, names = HashRing(), [f"e{n}" for n in range(engines)]
     ring.fill(Engine(name, "medium") for name in names)
     return ring, names
 
@@ -46,7 +46,7 @@
 
 def subset(gateway: Gateway) -> set[str]:
     """The engines that may be sent something."""
-    return {engine for engine, node in gateway.choice.nodes.items() if gateway.choice.usable(node)}
+    return {engine for engine, node in gateway.choice.engines.items() if gateway.choice.is_usable(node)}
 
 
 @given(routers=st.integers(1, 60), engines=st.integers(1, 60), reach=st.integers(1, 70))
@@ -54,8 +54,8 @@
     routers: int, engines: int, reach: int
 ) -> None:
     ring, names = ring_of(engines)
-    seats = [Seats(routers, index) for index in range(routers)]
-    windows = [ring.window(seat.place, 0, reach) for seat in seats]
+    seats = [RouterPositions(routers, index) for index in range(routers)]
+    windows = [ring.window(seat.own, 0, reach) for seat in seats]
     assert all(len(set(window)) == min(reach, engines) for window in windows)
     for name in names:
         sharers = [seat for seat, window in zip(seats, windows, strict=True) if name in window]
@@ -66,7 +66,9 @@
 
 def test_engines_are_shared_evenly_at_the_size_of_the_target() -> None:
     ring, names = ring_of(3200)
-    met = Counter(name for index in range(2400) for name in ring.window(Seats(2400, index).place, 0, SIZE))
+    met = Counter(
+        name for index in range(2400) for name in ring.window(RouterPositions(2400, index).own, 0, MIN_WINDOW)
+    )
     assert len(met) == 3200 and min(met.values()) >= 0.8 * 12 and max(met.values()) <= 1.1 * 12
 
 
@@ -109,30 +111,33 @@
     for _ in range(10):
         [send] = sends(gateway.ask(work=0.1))
         gateway.end(send, Outcome.OK, 0.1)
-    assert weighed == 10 * SIZE and len(gateway.choice.nodes) == len(gateway.choice.up) == SIZE
+    assert (
+        weighed == 10 * MIN_WINDOW
+        and len(gateway.choice.engines) == len(gateway.choice.usable_engines) == MIN_WINDOW
+    )
 
 
 def test_a_change_of_the_list_costs_by_its_changes(monkeypatch: pytest.MonkeyPatch) -> None:
     gateway = gateway_of(engines=3200, balancers=2400)
     looked: list[str] = []
-    fits = Ring.fits
+    fits = HashRing.fits
 
-    def counted(self: Ring, entry: Engine) -> bool:
+    def counted(self: HashRing, entry: Engine) -> bool:
         looked.append(entry.id)
         return fits(self, entry)
 
-    monkeypatch.setattr(Ring, "fits", counted)
+    monkeypatch.setattr(HashRing, "fits", counted)
     gateway.tell(Engine("e5", "medium", state=EngineState.DRAINING), how=ListKind.CHANGES)
     assert set(looked) == {"e5"}
 
 
 def test_a_subset_has_enough_of_its_own_zone_and_of_others_where_the_zone_has_too_few() -> None:
     gateway = gateway_of(zones=ZONES, zone=ZONES[2])
-    zones = Counter(node.entry.zone for node in gateway.choice.up)
-    assert zones[ZONES[2]] >= SIZE and SIZE < sum(zones.values()) <= 2 * SIZE
+    zones = Counter(node.entry.zone for node in gateway.choice.usable_engines)
+    assert zones[ZONES[2]] >= MIN_WINDOW and MIN_WINDOW < sum(zones.values()) <= 2 * MIN_WINDOW
     small = Gateway(make_settings(balancers=ROUTERS, zones=ZONES, zone=ZONES[2]), engines=0)
     small.tell(*(Engine(f"e{n}", "medium", ZONES[2 if n < 3 else 4]) for n in range(ENGINES)))
-    assert {"e0", "e1", "e2"} <= subset(small) and len(subset(small)) >= SIZE
+    assert {"e0", "e1", "e2"} <= subset(small) and len(subset(small)) >= MIN_WINDOW
 
 
 def test_a_class_that_is_confined_to_a_rare_kind_finds_engines_of_it() -> None:
@@ -156,24 +161,24 @@
         gateway.tell(*fresh, how=ListKind.CHANGES)
     else:
         for name in engines:
-            gateway.choice.nodes[name].ejected_at = gateway.now
-            gateway.choice.nodes[name].trial_at = gateway.now + 1e6
+            gateway.choice.engines[name].ejected_at = gateway.now
+            gateway.choice.engines[name].trial_at = gateway.now + 1e6
 
 
 @pytest.mark.parametrize("way", ["by hand", "cold", "ejected"])
 def test_while_few_are_reliable_the_subset_is_wider_in_the_agreed_order(way: str) -> None:
     gateway = gateway_of(5)
     choice, before = gateway.choice, subset(gateway)
-    order = choice.rings[0].window(choice.seats.place, 0, ENGINES)
-    bad = set(order[: SIZE * 3 // 4])
+    order = choice.rings[0].window(choice.positions.own, 0, ENGINES)
+    bad = set(order[: MIN_WINDOW * 3 // 4])
     break_down(gateway, bad, way)
     for _ in range(4):
         [send] = sends(gateway.ask(work=0.1))
         assert send.engine not in bad or way == "cold"
         gateway.end(send, Outcome.OK, 0.1)
-    wider = {engine for engine, node in choice.nodes.items() if node.member}
-    assert wider == set(order[: len(wider)]) and SIZE < len(wider) <= (1 + WIDEST) * SIZE
-    assert len(wider - bad) >= SIZE / 2
+    wider = {engine for engine, node in choice.engines.items() if node.in_subset}
+    assert wider == set(order[: len(wider)]) and MIN_WINDOW < len(wider) <= (1 + MAX_EXTENSION) * MIN_WINDOW
+    assert len(wider - bad) >= MIN_WINDOW / 2
     if way == "by hand":
         gateway.do(ManualOverridesChanged(frozenset()))
         gateway.now += 60.0  # what operators give back is cold for a while
@@ -181,7 +186,7 @@
         gateway.now += 60.0
     else:
         for name in bad:
-            choice.nodes[name].ejected_at = None
+            choice.engines[name].ejected_at = None
     for _ in range(8):
         [send] = sends(gateway.ask(work=0.1))
         gateway.end(send, Outcome.OK, 0.1)
@@ -190,24 +195,24 @@
 
 def test_a_subset_at_the_edge_of_too_few_does_not_go_to_and_fro() -> None:
     gateway = gateway_of(5)
-    order = gateway.choice.rings[0].window(gateway.choice.seats.place, 0, ENGINES)
-    break_down(gateway, set(order[: SIZE // 2 + 1]), "ejected")
+    order = gateway.choice.rings[0].window(gateway.choice.positions.own, 0, ENGINES)
+    break_down(gateway, set(order[: MIN_WINDOW // 2 + 1]), "ejected")
     gateway.ask(work=0.1)
     gateway.ask(work=0.1)
-    wide = set(gateway.choice.nodes)
-    assert len(wide) > SIZE
-    gateway.choice.nodes[order[0]].ejected_at = None  # one more than too few
+    wide = set(gateway.choice.engines)
+    assert len(wide) > MIN_WINDOW
+    gateway.choice.engines[order[0]].ejected_at = None  # one more than too few
     for _ in range(5):
         gateway.ask(work=0.1)
-    assert set(gateway.choice.nodes) >= wide
+    assert set(gateway.choice.engines) >= wide
 
 
 def test_a_subset_has_a_bound_where_nothing_is_reliable() -> None:
     gateway = gateway_of(5)
     for _ in range(40):
-        break_down(gateway, set(gateway.choice.nodes), "ejected")
+        break_down(gateway, set(gateway.choice.engines), "ejected")
         gateway.ask(work=0.1)
-    assert len(gateway.choice.nodes) <= (1 + WIDEST) * SIZE + SIZE
+    assert len(gateway.choice.engines) <= (1 + MAX_EXTENSION) * MIN_WINDOW + MIN_WINDOW
 
 
 @pytest.mark.parametrize("routers", [50, 200, 2400])
@@ -216,14 +221,14 @@
 ) -> None:
     gateways = [gateway_of(index, engines=64, balancers=routers) for index in range(0, routers, 1)][:200]
     for number, gateway in enumerate(gateways):  # some are busy, and work with more engines for it
-        gateway.choice.size = SIZE * (1 + number % 4)
-        gateway.choice.refit = True
-        gateway.choice.take_window(SIZE)
+        gateway.choice.window_size = MIN_WINDOW * (1 + number % 4)
+        gateway.choice.subset_stale = True
+        gateway.choice.use_window(MIN_WINDOW)
     numbers: dict[str, list[int]] = {}
     for gateway in gateways:
-        for engine, node in gateway.choice.nodes.items():
-            if node.number >= 0:
-                numbers.setdefault(engine, []).append(node.number)
+        for engine, node in gateway.choice.engines.items():
+            if node.share_index >= 0:
+                numbers.setdefault(engine, []).append(node.share_index)
     assert len(numbers) == 64
     assert all(len(set(got)) == len(got) for got in numbers.values())  # nobody has another one's number
 
@@ -232,21 +237,21 @@
     gateway = gateway_of(5)
     [send] = sends(gateway.ask(work=0.1))
     gateway.do(SettingsChanged(make_settings(balancers=ROUTERS, index=105)))
-    assert send.engine in gateway.choice.nodes and send.engine not in subset(gateway)
-    assert not finals(gateway.end(send, Outcome.OK, 0.1)) and not gateway.choice.jobs
+    assert send.engine in gateway.choice.engines and send.engine not in subset(gateway)
+    assert not finals(gateway.end(send, Outcome.OK, 0.1)) and not gateway.choice.queries
     gateway.sweep(gateway.now + 0.3)
-    assert send.engine not in gateway.choice.nodes
+    assert send.engine not in gateway.choice.engines
 
 
 def test_an_engine_that_started_unseen_is_cold_when_the_subset_takes_it_in() -> None:
     gateway = gateway_of(5)
-    outside = sorted(set(gateway.choice.listing) - subset(gateway))
+    outside = sorted(set(gateway.choice.engine_list) - subset(gateway))
     fresh = [Engine(name, "medium", started=gateway.now) for name in outside]
     gateway.tell(*fresh, how=ListKind.CHANGES)
     break_down(gateway, subset(gateway), "ejected")
     gateway.ask(work=0.1)
     gateway.ask(work=0.1)
-    taken_in = [gateway.choice.nodes[name] for name in outside if name in gateway.choice.nodes]
+    taken_in = [gateway.choice.engines[name] for name in outside if name in gateway.choice.engines]
     assert taken_in and all(gateway.choice._warming_up(node) for node in taken_in)
 
 
@@ -254,7 +259,7 @@
     gateway = gateway_of(1, engines=60, balancers=3)
     assert len(subset(gateway)) == 60
     gateway.do(SettingsChanged(make_settings(balancers=ROUTERS, index=1)))
-    assert len(subset(gateway)) == SIZE
+    assert len(subset(gateway)) == MIN_WINDOW
     gateway.do(SettingsChanged(make_settings(balancers=3, index=1)))
     assert len(subset(gateway)) == 60
 
@@ -264,7 +269,7 @@
     for name in sorted(subset(gateway))[:6]:
         state = EngineState.GONE if len(name) % 2 else EngineState.DRAINING
         gateway.tell(Engine(name, "medium", state=state), how=ListKind.CHANGES)
-        assert name not in subset(gateway) and len(subset(gateway)) == SIZE
+        assert name not in subset(gateway) and len(subset(gateway)) == MIN_WINDOW
         for _ in range(20):
             out: list[Send] = sends(gateway.ask(work=0.1))
             assert out and name not in {send.engine for send in out}
--- a/tests/test_subset_processes.py
+++ b/tests/test_subset_processes.py
@@ -45,7 +45,7 @@
     """The engines that the decision module works with by this list."""
     choice = Choice(settings, now=0.0, seed=1)
     choice.handle(0.0, [EngineList(ListKind.FULL, tuple(engines))])
-    return {engine for engine, node in choice.nodes.items() if choice.usable(node)}
+    return {engine for engine, node in choice.engines.items() if choice.is_usable(node)}
 
 
 @dataclass(frozen=True, slots=True)
