--- a/grebeproxy/policy/engine_tracking.py
+++ b/grebeproxy/policy/engine_tracking.py
@@ -50,7 +50,7 @@
         self.lasting_slowdown = 1.0  # the same, but not fading with time
         self.slowdown_by_warming = [1.0, 1.0]  # the same of warm engines, and of warming ones
         # Engines that are warming up.
-        self.warming_capacity = 0.0  # cores that this router's share of them is worth
+        self.warming_capacity = 0.0  # cores of this router's share of them, as far as they are warm
         self.warming_fraction = 0.0  # their part of the capacity of all healthy engines
         self.warming_weights: list[float] = []  # core-seconds that a query counts there, by rank
         self.warming_unit = 1.0  # core-seconds in a unit of their slots
@@ -194,9 +194,9 @@
         shared = [engine for engine in healthy if engine.share_index >= 0]
         warming = [engine for engine in shared if self._warming_up(engine)]
         self.warming_capacity = sum(e.cores * self._warmup_capacity(e) / e.sharers for e in warming)
-        cold = sum(e.cores * self._warmup_capacity(e) for e in warming) / self.slowdown_by_warming[1]
-        warm = sum(e.cores for e in shared if not self._warming_up(e)) / self.slowdown_by_warming[0]
-        self.warming_fraction = cold / (cold + warm or 1.0)
+        warming_cores = sum(e.cores * self._warmup_capacity(e) for e in warming) / self.slowdown_by_warming[1]
+        warm_cores = sum(e.cores for e in shared if not self._warming_up(e)) / self.slowdown_by_warming[0]
+        self.warming_fraction = warming_cores / (warming_cores + warm_cores or 1.0)
 
     def sum_in_flight(self) -> list[EngineRecord]:
         """Sum up this router's attempts in flight; return the healthy engines where there are any."""
--- a/grebeproxy/policy/events.py
+++ b/grebeproxy/policy/events.py
@@ -1,4 +1,4 @@
-"""Events: what the decision module is told. Clock times and latencies are in seconds, memory in MB."""
+"""Events: the input of the decision module. Clock times and latencies are in seconds, memory in MB."""
 
 from __future__ import annotations
 
