--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -85,7 +85,7 @@
     return replace(base, **changes)
 
 
-class Gateway:
+class RouterHarness:
     """Drives one ``Choice`` and keeps what it did."""
 
     def __init__(self, settings: Settings, engines: int = 2, **engine: Any) -> None:
--- a/tests/streams.py
+++ b/tests/streams.py
@@ -34,7 +34,7 @@
 
 BUDGET = api.AttemptBudget(window=5.0, floor=3.0, fraction=0.1)
 
-# Settings, engines, queries a second: one gateway of few, of many, and each of the settings' switches.
+# Settings, engines, queries a second: one router of few, of many, and each of the settings' switches.
 STREAMS: dict[str, tuple[dict[str, Any], int, float]] = {
     "alone": ({}, 4, 40.0),
     "two": ({"balancers": 2, "index": 1}, 8, 60.0),
@@ -62,7 +62,7 @@
 
 
 class World:
-    """One gateway's surroundings: engines that serve, fail, come and go as a seed tells."""
+    """One router's surroundings: engines that serve, fail, come and go as a seed tells."""
 
     def __init__(self, name: str, seed: int) -> None:
         changes, self.engines, self.rate = STREAMS[name]
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""What engines that have just started get from all gateways together, however many of those have started too.
+"""What engines that have just started get from all routers together, however many of those have started too.
 
 Beyond the budget N of the rules, in queries of mean work, only 2 x root of N + 2 are put down to chance.
 """
@@ -11,7 +11,7 @@
 from random import Random
 
 import pytest
-from conftest import LOAD, LONG, RULES, SHORT, Gateway, make_settings, sends
+from conftest import LOAD, LONG, RULES, SHORT, RouterHarness, make_settings, sends
 
 from grebeproxy.policy.interface import Engine, Outcome, Send
 
@@ -23,7 +23,7 @@
 
 
 class Fleet:
-    """So many gateways and engines on one clock; the first engines have started two seconds ago."""
+    """So many routers and engines on one clock; the first engines have started two seconds ago."""
 
     def __init__(self, balancers: int, engines: int, cold: int, seed: int) -> None:
         self.draw, self.now, self.began = Random(seed), 100.0, 98.0
@@ -33,44 +33,44 @@
         ]
         self.cold = {entry.id for entry in self.entries[:cold]}
         self.sent: dict[str, list[tuple[float, float]]] = {id: [] for id in self.cold}
-        self.gateways: list[Gateway] = []
+        self.harnesses: list[RouterHarness] = []
         self.asked = 0
         for index in range(balancers):
             self.restart(index)
 
     def restart(self, index: int) -> None:
-        """A gateway that starts now, and knows nothing of what its former self sent."""
-        gateway = Gateway(replace(self.settings, index=index), engines=0)
+        """A router that starts now, and knows nothing of what its former self sent."""
+        harness = RouterHarness(replace(self.settings, index=index), engines=0)
         seed = self.asked + index
-        gateway.choice = type(gateway.choice)(replace(self.settings, index=index), self.now, seed)
-        gateway.now = self.now
-        gateway.tell(*self.entries)
-        self.gateways[index : index + 1] = [gateway]
+        harness.choice = type(harness.choice)(replace(self.settings, index=index), self.now, seed)
+        harness.now = self.now
+        harness.tell(*self.entries)
+        self.harnesses[index : index + 1] = [harness]
 
     def run(self, seconds: float, rate: Callable[[str], float], outcome: Outcome = Outcome.OK) -> None:
-        """Queries of each class at so many a second over all gateways; each ends in a step, in that way."""
+        """Queries of each class at so many a second over all routers; each ends in a step, in that way."""
         until, step = self.now + seconds, 0.05
         while self.now < until:
             self.now += step
             for cls, work in WORK.items():
                 whole = rate(cls) * step
                 for _ in range(int(whole) + (self.draw.random() < whole % 1.0)):
-                    self.ask(self.draw.randrange(len(self.gateways)), cls, work, outcome)
+                    self.ask(self.draw.randrange(len(self.harnesses)), cls, work, outcome)
 
     def ask(self, index: int, cls: str, work: float, outcome: Outcome) -> None:
-        gateway, self.asked = self.gateways[index], self.asked + 1
-        gateway.now = self.now
+        harness, self.asked = self.harnesses[index], self.asked + 1
+        harness.now = self.now
         estimate = work * self.draw.lognormvariate(-0.3, 0.8)
-        out = sends(gateway.ask(cls, wait=8.0, work=estimate, id=f"{self.asked}"))
-        for send in self.noted(gateway, out):
-            for more in self.noted(gateway, sends(gateway.end(send, outcome, 0.05))):
-                self.noted(gateway, sends(gateway.end(more, Outcome.OK, 0.05)))
+        out = sends(harness.ask(cls, wait=8.0, work=estimate, id=f"{self.asked}"))
+        for send in self.noted(harness, out):
+            for more in self.noted(harness, sends(harness.end(send, outcome, 0.05))):
+                self.noted(harness, sends(harness.end(more, Outcome.OK, 0.05)))
 
-    def noted(self, gateway: Gateway, out: list[Send]) -> list[Send]:
+    def noted(self, harness: RouterHarness, out: list[Send]) -> list[Send]:
         for send in out:
             if send.engine in self.cold:
                 self.sent[send.engine].append(
-                    (self.now, WORK[gateway.choice.queries[send.id].cls.name] / MEAN)
+                    (self.now, WORK[harness.choice.queries[send.id].cls.name] / MEAN)
                 )
         return out
 
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("balancers", [2, 20, 30, 200])
 @pytest.mark.parametrize("flood", FLOODS)
-def test_gateways_that_all_restart_again_and_again_in_a_flood_keep_the_cold_budget(
+def test_routers_that_all_restart_again_and_again_in_a_flood_keep_the_warming_budget(
     balancers: int, flood: str
 ) -> None:
     fleet = Fleet(balancers, engines=2, cold=2, seed=balancers)
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("balancers", [30, 200])
-def test_refused_and_failed_attempts_weigh_too(balancers: int) -> None:
+def test_rejected_and_failed_attempts_weigh_too(balancers: int) -> None:
     for outcome in (Outcome.FULL, Outcome.ERROR, Outcome.RESET):
         fleet = Fleet(balancers, engines=2, cold=2, seed=1)
         fleet.run(4.0, lambda cls: FLOODS["all"].get(cls, 0.0), outcome)
@@ -122,7 +122,7 @@
 
 
 def test_a_fleet_that_has_just_started_serves_from_engines_that_have_too() -> None:
-    # Half of the engines and all gateways are new, and as much comes as warm ones can do by themselves.
+    # Half of the engines and all routers are new, and as much comes as warm ones can do by themselves.
     fleet = Fleet(200, engines=32, cold=16, seed=1)
     for _ in range(6):
         fleet.run(1.0, lambda cls: {"short": 550.0, "long": 22.0, "load": 6.0}[cls])
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import msgpack
-from conftest import LOAD, SHORT, Gateway, cancels, make_settings, sends
+from conftest import LOAD, SHORT, RouterHarness, cancels, make_settings, sends
 from exchange import START, Player, to_text
 from test_exchanges import answer_line
 
@@ -26,15 +26,15 @@
     return to_text(struct.pack(">IQB", 9 + len(rows), seq, 2) + rows)
 
 
-def test_nothing_stays_of_data_sets_that_were_held_once() -> None:
-    gateway = Gateway(make_settings(classes=(replace(SHORT, waits_for_loads=True), LOAD)))
+def test_nothing_stays_of_data_sets_that_were_locked_once() -> None:
+    harness = RouterHarness(make_settings(classes=(replace(SHORT, waits_for_loads=True), LOAD)))
     for number in range(200):
-        for send in sends(gateway.ask(data_set=number, work=0.01)):
-            for _ in cancels(gateway.sweep(gateway.now + 0.35)):
-                gateway.do(ClientDisconnected(send.id))
-                gateway.end(send, Outcome.CANCELLED)
-        gateway.now += 2.0
-    held = [len(node.locked_until) for node in gateway.choice.engines.values()]
+        for send in sends(harness.ask(data_set=number, work=0.01)):
+            for _ in cancels(harness.sweep(harness.now + 0.35)):
+                harness.do(ClientDisconnected(send.id))
+                harness.end(send, Outcome.CANCELLED)
+        harness.now += 2.0
+    held = [len(node.locked_until) for node in harness.choice.engines.values()]
     assert sum(held) and max(held) <= 2
 
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -5,68 +5,68 @@
 from dataclasses import replace
 from typing import Any
 
-from conftest import LOAD, LONG, SHORT, Gateway, cancels, finals, make_settings, sends
+from conftest import LOAD, LONG, SHORT, RouterHarness, cancels, finals, make_settings, sends
 
 from grebeproxy import Settings
 from grebeproxy.policy.interface import AttemptEnded, Outcome, Query
 from grebeproxy.policy.records import Estimate, QueryRecord
 
 
-def held_job(gateway: Gateway, cls: str, began: float, work: float = 0.5) -> QueryRecord:
-    choice = gateway.choice
+def held_job(harness: RouterHarness, cls: str, began: float, work: float = 0.5) -> QueryRecord:
+    choice = harness.choice
     definition = choice.classes[choice.class_rank[cls]]
     query = Query(f"h-{cls}-{began}", cls, began + definition.deadline)
     return QueryRecord(query, definition, choice.class_rank[cls], began, Estimate(work, 0.0))
 
 
 def test_classes_are_ranked_by_tightness_of_aim(settings: Settings) -> None:
-    choice = Gateway(settings).choice
+    choice = RouterHarness(settings).choice
     assert choice.class_rank == {"short": 0, "long": 1, "load": 2}
     assert choice.rank_weight[0] > choice.rank_weight[1] > choice.rank_weight[2]
 
 
 def test_quiet_is_arrival_order(settings: Settings) -> None:
-    gateway = Gateway(settings)
-    early, late = held_job(gateway, "long", 99.0), held_job(gateway, "short", 99.5)
-    assert gateway.choice._priority(early, 0.0) > gateway.choice._priority(late, 0.0)
+    harness = RouterHarness(settings)
+    early, late = held_job(harness, "long", 99.0), held_job(harness, "short", 99.5)
+    assert harness.choice._priority(early, 0.0) > harness.choice._priority(late, 0.0)
 
 
 def test_at_full_load_a_short_query_overtakes(settings: Settings) -> None:
-    gateway = Gateway(settings)
-    early, late = held_job(gateway, "long", 97.0), held_job(gateway, "short", 100.0)
-    assert gateway.choice._priority(late, 1.0) > gateway.choice._priority(early, 1.0)
+    harness = RouterHarness(settings)
+    early, late = held_job(harness, "long", 97.0), held_job(harness, "short", 100.0)
+    assert harness.choice._priority(late, 1.0) > harness.choice._priority(early, 1.0)
 
 
 def test_gap_between_neighbours_outweighs_a_short_deadline_of_urgency(settings: Settings) -> None:
-    choice = Gateway(settings).choice
+    choice = RouterHarness(settings).choice
     urgency = SHORT.deadline / choice.tightest_class.deadline
     for upper, lower in zip(choice.rank_weight, choice.rank_weight[1:], strict=False):
         assert choice.priority_gap * (upper - lower) > urgency
 
 
 def test_starvation_is_bounded_by_age(settings: Settings) -> None:
-    gateway = Gateway(settings)
-    gateway.now = gateway.choice.now = 200.0
-    old, new = held_job(gateway, "load", 185.0), held_job(gateway, "short", 200.0)
-    assert gateway.choice._priority(old, 1.0) > gateway.choice._priority(new, 1.0)
+    harness = RouterHarness(settings)
+    harness.now = harness.choice.now = 200.0
+    old, new = held_job(harness, "load", 185.0), held_job(harness, "short", 200.0)
+    assert harness.choice._priority(old, 1.0) > harness.choice._priority(new, 1.0)
 
 
 def test_load_factor_is_clamped_and_grows_with_depth(settings: Settings) -> None:
-    gateway = Gateway(settings, engines=0)
+    harness = RouterHarness(settings, engines=0)
     seen = []
     for _ in range(200):
-        gateway.ask(work=0.1)
-        seen.append(gateway.choice._load_factor())
+        harness.ask(work=0.1)
+        seen.append(harness.choice._load_factor())
     assert seen[0] < 1e-9 and seen[-1] == 1.0
     assert seen == sorted(seen)
 
 
-def test_a_few_heavy_held_queries_do_not_read_as_quiet(settings: Settings) -> None:
-    light, heavy = Gateway(settings, engines=2), Gateway(settings, engines=2)
-    for gateway in (light, heavy):
-        gateway.choice.class_counts, gateway.choice.typical_work = [80, 15, 5], [0.1, 3.0, 3.0]
-        for node in gateway.choice.engines.values():
-            node.closed_until = gateway.now + 10.0
+def test_a_few_heavy_queued_queries_do_not_read_as_quiet(settings: Settings) -> None:
+    light, heavy = RouterHarness(settings, engines=2), RouterHarness(settings, engines=2)
+    for harness in (light, heavy):
+        harness.choice.class_counts, harness.choice.typical_work = [80, 15, 5], [0.1, 3.0, 3.0]
+        for node in harness.choice.engines.values():
+            node.closed_until = harness.now + 10.0
     for _ in range(3):
         light.ask(work=0.1)
         heavy.ask("long", wait=20.0, work=9.0)
@@ -74,7 +74,7 @@
 
 
 def test_the_bound_binds_only_under_pressure(settings: Settings) -> None:
-    calm, crowded = Gateway(settings, engines=1), Gateway(settings, engines=1)
+    calm, crowded = RouterHarness(settings, engines=1), RouterHarness(settings, engines=1)
     crowded.crowd()
     sent = {"calm": 0, "crowded": 0}
     for _ in range(40):
@@ -85,62 +85,62 @@
 
 
 def test_long_classes_stop_before_short_ones(settings: Settings) -> None:
-    gateway = Gateway(settings, engines=1)
-    gateway.crowd()
+    harness = RouterHarness(settings, engines=1)
+    harness.crowd()
     for _ in range(20):
-        gateway.ask("long", wait=20.0, work=0.3)
-    node = gateway.choice.engines["e0"]
+        harness.ask("long", wait=20.0, work=0.3)
+    node = harness.choice.engines["e0"]
     assert node.long_threads == node.threads > 0
-    assert len(sends(gateway.ask(work=0.1))) == 1
+    assert len(sends(harness.ask(work=0.1))) == 1
 
 
-def test_the_bound_is_this_gateways_share() -> None:
+def test_the_bound_is_this_routers_share() -> None:
     counts = []
     for balancers in (1, 4):
-        gateway = Gateway(make_settings(balancers=balancers), engines=1)
-        gateway.crowd()
-        counts.append(sum(len(sends(gateway.ask(work=0.1))) for _ in range(60)))
+        harness = RouterHarness(make_settings(balancers=balancers), engines=1)
+        harness.crowd()
+        counts.append(sum(len(sends(harness.ask(work=0.1))) for _ in range(60)))
     assert counts[0] >= 3 * counts[1]
 
 
 def test_high_latency_is_pressure(settings: Settings) -> None:
-    gateway = Gateway(settings, engines=1)
-    node = gateway.choice.engines["e0"]
+    harness = RouterHarness(settings, engines=1)
+    node = harness.choice.engines["e0"]
     for latency, pressed in ((0.2, False), (5.0, True)):
         for _ in range(8):
-            [send] = sends(gateway.ask("long", wait=20.0, work=0.6))
-            gateway.end(send, Outcome.OK, latency, work=0.6)
-        assert gateway.choice._under_pressure(node) is pressed
+            [send] = sends(harness.ask("long", wait=20.0, work=0.6))
+            harness.end(send, Outcome.OK, latency, work=0.6)
+        assert harness.choice._under_pressure(node) is pressed
 
 
-def test_refusing_for_slowness_ends_when_nothing_is_out(settings: Settings) -> None:
-    gateway = Gateway(settings, engines=1)
+def test_rejecting_for_slowness_ends_when_nothing_is_in_flight(settings: Settings) -> None:
+    harness = RouterHarness(settings, engines=1)
     for _ in range(30):
-        for send in sends(gateway.ask(work=0.2)):
-            gateway.end(send, Outcome.OK, 5.0, work=0.2)
-    assert not sends(gateway.ask(work=0.2))
-    gateway.now += 8.0
-    assert sends(gateway.ask(work=0.2))
+        for send in sends(harness.ask(work=0.2)):
+            harness.end(send, Outcome.OK, 5.0, work=0.2)
+    assert not sends(harness.ask(work=0.2))
+    harness.now += 8.0
+    assert sends(harness.ask(work=0.2))
 
 
 def test_fewest_threads_per_core_is_the_default_choice(settings: Settings) -> None:
-    gateway = Gateway(settings, engines=4)
-    used = {send.engine for _ in range(4) for send in sends(gateway.ask("long", wait=20.0, work=2.0))}
+    harness = RouterHarness(settings, engines=4)
+    used = {send.engine for _ in range(4) for send in sends(harness.ask("long", wait=20.0, work=2.0))}
     assert used == {"e0", "e1", "e2", "e3"}
 
 
 def test_a_data_set_returns_to_the_engine_that_read_it(settings: Settings) -> None:
-    gateway = Gateway(settings, engines=4)
+    harness = RouterHarness(settings, engines=4)
     used = set()
     for _ in range(6):
-        [send] = sends(gateway.ask(work=0.1, data_set=3))
+        [send] = sends(harness.ask(work=0.1, data_set=3))
         used.add(send.engine)
-        gateway.end(send, Outcome.OK, work=0.1)
+        harness.end(send, Outcome.OK, work=0.1)
     assert len(used) == 1
 
 
-def test_gateways_agree_on_a_data_sets_engine_without_talking(settings: Settings) -> None:
-    first, second = (Gateway(make_settings(balancers=2, index=i), engines=5) for i in (0, 1))
+def test_routers_agree_on_a_data_sets_engine_without_talking(settings: Settings) -> None:
+    first, second = (RouterHarness(make_settings(balancers=2, index=i), engines=5) for i in (0, 1))
     for data_set in range(8):
         [one] = sends(first.ask(work=0.1, data_set=data_set))
         [two] = sends(second.ask(work=0.1, data_set=data_set))
@@ -150,30 +150,30 @@
 
 
 def test_two_loads_of_a_data_set_go_to_different_engines(settings: Settings) -> None:
-    gateway = Gateway(settings, engines=3)
-    engines = [sends(gateway.ask("load", wait=20.0, work=2.0, data_set=1))[0].engine for _ in range(2)]
+    harness = RouterHarness(settings, engines=3)
+    engines = [sends(harness.ask("load", wait=20.0, work=2.0, data_set=1))[0].engine for _ in range(2)]
     assert len(set(engines)) == 2
 
 
 def test_an_event_for_an_unknown_or_finished_query_is_ignored(settings: Settings) -> None:
-    gateway = Gateway(settings)
-    [send] = sends(gateway.ask(id="a"))
-    gateway.end(send, Outcome.OK, work=0.1)
-    assert not sends(gateway.do(AttemptEnded("a", send.engine, 0, Outcome.ERROR, 0.1)))
-    assert not finals(gateway.do(AttemptEnded("never", "e0", 0, Outcome.TIMEOUT, 0.1)))
+    harness = RouterHarness(settings)
+    [send] = sends(harness.ask(id="a"))
+    harness.end(send, Outcome.OK, work=0.1)
+    assert not sends(harness.do(AttemptEnded("a", send.engine, 0, Outcome.ERROR, 0.1)))
+    assert not finals(harness.do(AttemptEnded("never", "e0", 0, Outcome.TIMEOUT, 0.1)))
 
 
 def test_same_events_give_same_actions(settings: Settings) -> None:
     def play() -> list[object]:
-        gateway = Gateway(settings, engines=5)
+        harness = RouterHarness(settings, engines=5)
         log: list[object] = []
         for i in range(60):
-            gateway.now += 0.05
+            harness.now += 0.05
             cls = ("short", "long", "load")[i % 3]
-            actions = gateway.ask(cls, wait=4.0, work=0.3 * (i % 4 + 1), data_set=i % 7)
+            actions = harness.ask(cls, wait=4.0, work=0.3 * (i % 4 + 1), data_set=i % 7)
             log.extend(actions)
             for send in sends(actions)[:1]:
-                log.extend(gateway.end(send, (Outcome.OK, Outcome.ERROR)[i % 2], work=0.5))
+                log.extend(harness.end(send, (Outcome.OK, Outcome.ERROR)[i % 2], work=0.5))
         return log
 
     assert play() == play()
@@ -184,31 +184,31 @@
     return make_settings(classes=(replace(SHORT, waits_for_loads=True), LONG, LOAD), **changes)
 
 
-def waiting() -> Gateway:
+def waiting() -> RouterHarness:
     """Two engines, both of which have read a data set; short queries wait for loads on it."""
-    gateway = Gateway(waiting_settings())
-    for node in gateway.choice.engines.values():
+    harness = RouterHarness(waiting_settings())
+    for node in harness.choice.engines.values():
         node.cached_data_sets[7] = None
-    return gateway
+    return harness
 
 
 def test_short_work_keeps_away_from_the_engine_whose_load_holds_its_data_set() -> None:
-    gateway = waiting()
-    load = sends(gateway.ask("load", wait=20.0, data_set=7))[0]
+    harness = waiting()
+    load = sends(harness.ask("load", wait=20.0, data_set=7))[0]
     for _ in range(3):  # also when that engine has fewer of our threads
-        assert sends(gateway.ask("short", data_set=7))[0].engine != load.engine
+        assert sends(harness.ask("short", data_set=7))[0].engine != load.engine
 
 
-def test_gateways_keep_loads_of_a_data_set_apart_from_what_would_wait_for_them() -> None:
+def test_routers_keep_loads_of_a_data_set_apart_from_what_would_wait_for_them() -> None:
     went: dict[tuple[int, str], set[str]] = {}
     for index in range(3):  # none is told of what the others send
-        gateway = Gateway(waiting_settings(balancers=3, index=index), engines=5)
+        harness = RouterHarness(waiting_settings(balancers=3, index=index), engines=5)
         for number in range(90):
-            gateway.now += 0.2
+            harness.now += 0.2
             data_set = number % 3
             cls = "load" if number // 3 % 2 else "short"
-            [send] = sends(gateway.ask(cls, wait=4.0, data_set=data_set, work=0.4 if cls == "load" else 0.1))
-            gateway.end(send, Outcome.OK, work=0.4 if cls == "load" else 0.1)
+            [send] = sends(harness.ask(cls, wait=4.0, data_set=data_set, work=0.4 if cls == "load" else 0.1))
+            harness.end(send, Outcome.OK, work=0.4 if cls == "load" else 0.1)
             if number >= 30:  # by then it has seen how many loads there are
                 went.setdefault((data_set, cls), set()).add(send.engine)
     for data_set in range(3):
@@ -216,32 +216,32 @@
         assert not went[data_set, "load"] & went[data_set, "short"]
 
 
-def test_gateways_begin_at_different_home_engines() -> None:
+def test_routers_begin_at_different_home_engines() -> None:
     """Guards against loads of one data set that meet at an engine, where each waits for the other's end."""
     first = set()
     for index in range(3):
-        gateway = Gateway(waiting_settings(balancers=3, index=index), engines=5)
+        harness = RouterHarness(waiting_settings(balancers=3, index=index), engines=5)
         for _ in range(40):
-            gateway.now += 0.3
-            [send] = sends(gateway.ask("load", wait=4.0, data_set=7, work=0.8))
-            gateway.end(send, Outcome.OK, work=0.8)
-            gateway.choice.engines[send.engine].cached_data_sets.clear()
-        assert gateway.choice._home_engines(7)[0] == 4.0
+            harness.now += 0.3
+            [send] = sends(harness.ask("load", wait=4.0, data_set=7, work=0.8))
+            harness.end(send, Outcome.OK, work=0.8)
+            harness.choice.engines[send.engine].cached_data_sets.clear()
+        assert harness.choice._home_engines(7)[0] == 4.0
         first.add(send.engine)
     assert len(first) == 3
 
 
-def test_a_gateway_that_sees_all_loads_spreads_them() -> None:
-    gateway = Gateway(waiting_settings(), engines=3)
-    loads = [sends(gateway.ask("load", wait=20.0, work=0.4, data_set=7))[0].engine for _ in range(3)]
+def test_a_router_that_sees_all_loads_spreads_them() -> None:
+    harness = RouterHarness(waiting_settings(), engines=3)
+    loads = [sends(harness.ask("load", wait=20.0, work=0.4, data_set=7))[0].engine for _ in range(3)]
     assert len(set(loads)) == 3
 
 
-def test_short_work_that_stands_still_goes_elsewhere_and_what_follows_keeps_away() -> None:
-    gateway = waiting()
-    first = sends(gateway.ask("short", data_set=7, work=0.01))[0]
-    assert cancels(gateway.sweep(gateway.now + 0.2)) == []
-    assert [c.id for c in cancels(gateway.sweep(gateway.now + 0.2))] == [first.id]
-    again = sends(gateway.end(first, Outcome.CANCELLED))
+def test_short_work_that_stalls_goes_elsewhere_and_what_follows_keeps_away() -> None:
+    harness = waiting()
+    first = sends(harness.ask("short", data_set=7, work=0.01))[0]
+    assert cancels(harness.sweep(harness.now + 0.2)) == []
+    assert [c.id for c in cancels(harness.sweep(harness.now + 0.2))] == [first.id]
+    again = sends(harness.end(first, Outcome.CANCELLED))
     assert [a.engine != first.engine for a in again] == [True]
-    assert sends(gateway.ask("short", data_set=7, work=0.01))[0].engine == again[0].engine
+    assert sends(harness.ask("short", data_set=7, work=0.01))[0].engine == again[0].engine
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The mechanism with hundreds of gateways, where a share of an engine is less than one query."""
+"""The mechanism with hundreds of routers, where a share of an engine is less than one query."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from conftest import LONG, SHORT, Gateway, finals, make_settings, sends
+from conftest import LONG, SHORT, RouterHarness, finals, make_settings, sends
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -25,12 +25,12 @@
 FLEET = 34
 
 
-def gateway_of(balancers: int, index: int = 0, engines: int = FLEET) -> Gateway:
-    return Gateway(make_settings(balancers=balancers, index=index), engines=engines)
+def harness_of(balancers: int, index: int = 0, engines: int = FLEET) -> RouterHarness:
+    return RouterHarness(make_settings(balancers=balancers, index=index), engines=engines)
 
 
 @given(balancers=st.integers(1, 300), whole=st.floats(0.0, 700.0), engine=st.text(min_size=1, max_size=12))
-def test_dealt_shares_never_add_up_to_more_than_the_whole(balancers: int, whole: float, engine: str) -> None:
+def test_shares_never_add_up_to_more_than_the_whole(balancers: int, whole: float, engine: str) -> None:
     total = 0
     for index in range(balancers):
         choice = Choice(make_settings(balancers=balancers, index=index), 0.0, 1)
@@ -39,24 +39,24 @@
     assert total == int(whole)
 
 
-def test_one_pressed_engine_takes_a_bounds_worth_from_all_gateways_together() -> None:
+def test_one_pressed_engine_takes_one_bound_from_all_routers_together() -> None:
     sent = 0
     for index in range(200):
-        gateway = gateway_of(200, index, engines=1)
-        gateway.crowd()
-        sent += sum(len(sends(gateway.ask(work=0.1))) for _ in range(4))
+        harness = harness_of(200, index, engines=1)
+        harness.crowd()
+        sent += sum(len(sends(harness.ask(work=0.1))) for _ in range(4))
     assert 0 < sent <= 16
 
 
-def test_no_pressure_no_bound_at_two_hundred_gateways() -> None:
-    gateway = gateway_of(200)
-    assert sum(len(sends(gateway.ask("long", wait=20.0, work=2.0))) for _ in range(6)) == 6
+def test_no_pressure_no_bound_at_two_hundred_routers() -> None:
+    harness = harness_of(200)
+    assert sum(len(sends(harness.ask("long", wait=20.0, work=2.0))) for _ in range(6)) == 6
 
 
 def test_all_that_is_ours_is_bounded_while_the_engines_are_slow() -> None:
     sent = []
     for index in range(40):  # to some there is dealt nothing
-        calm, slow = gateway_of(200, index), gateway_of(200, index)
+        calm, slow = harness_of(200, index), harness_of(200, index)
         slow.choice.fleet_slowdown = 4.0
         for node in slow.choice.engines.values():
             node.slowdown = 4.0
@@ -65,188 +65,190 @@
     assert max(sent) < 4 and sum(sent) > 5
 
 
-def test_a_single_heavy_query_is_held_and_not_refused() -> None:
-    gateway = gateway_of(200)
-    for node in gateway.choice.engines.values():
-        node.closed_until = gateway.now + 100.0
-    gateway.choice.typical_work = [0.1, 3.5, 3.5]
-    assert not finals(gateway.ask("long", wait=20.0, work=3.5))
-    assert not finals(gateway.sweep(100.3))
+def test_a_single_heavy_query_is_queued_and_not_rejected() -> None:
+    harness = harness_of(200)
+    for node in harness.choice.engines.values():
+        node.closed_until = harness.now + 100.0
+    harness.choice.typical_work = [0.1, 3.5, 3.5]
+    assert not finals(harness.ask("long", wait=20.0, work=3.5))
+    assert not finals(harness.sweep(100.3))
 
 
 def test_slow_reports_do_not_make_a_short_query_late() -> None:
-    gateway = gateway_of(200)
+    harness = harness_of(200)
     for _ in range(10):
-        for send in sends(gateway.ask("long", wait=20.0, work=0.9)):
-            gateway.end(send, Outcome.OK, 3.0, work=0.9)
-    assert sends(gateway.ask(work=0.4))
+        for send in sends(harness.ask("long", wait=20.0, work=0.9)):
+            harness.end(send, Outcome.OK, 3.0, work=0.9)
+    assert sends(harness.ask(work=0.4))
 
 
-def test_gateways_spread_a_data_set_when_they_are_many() -> None:
-    used = {sends(gateway_of(200, index).ask(work=0.1, data_set=3))[0].engine for index in range(60)}
+def test_routers_spread_a_data_set_when_they_are_many() -> None:
+    used = {sends(harness_of(200, index).ask(work=0.1, data_set=3))[0].engine for index in range(60)}
     assert len(used) > FLEET / 2
 
 
-def test_large_engines_do_not_draw_all_gateways() -> None:
+def test_large_engines_do_not_draw_all_routers() -> None:
     kinds = (EngineKind("medium", 8.0, 16000.0), EngineKind("big", 12.0, 24000.0))
     used = set()
     for index in range(40):
-        gateway = Gateway(make_settings(balancers=200, index=index, kinds=kinds), engines=0)
-        gateway.tell(*(Engine(f"e{i}", ("medium", "big")[i % 2]) for i in range(10)))
-        used.add(sends(gateway.ask(work=0.1, data_set=index))[0].engine)
+        harness = RouterHarness(make_settings(balancers=200, index=index, kinds=kinds), engines=0)
+        harness.tell(*(Engine(f"e{i}", ("medium", "big")[i % 2]) for i in range(10)))
+        used.add(sends(harness.ask(work=0.1, data_set=index))[0].engine)
     assert {int(name[1:]) % 2 for name in used} == {0, 1}
 
 
 @pytest.mark.parametrize(("engines", "cls", "work"), [(1, "short", 0.1), (FLEET, "long", 0.25)])
-def test_a_cold_engine_gets_its_part_from_all_and_no_more(engines: int, cls: str, work: float) -> None:
+def test_a_warming_engine_gets_its_part_from_all_and_no_more(engines: int, cls: str, work: float) -> None:
     # All that the fleet can do in two windows of the budget is asked for at once; nothing else is open.
     sent, asked = 0.0, 2.0 * 8.0 * engines
     for index in range(200):
-        gateway = Gateway(make_settings(balancers=200, index=index), engines=0)
+        harness = RouterHarness(make_settings(balancers=200, index=index), engines=0)
         cold = Engine("e0", "medium", started=99.0)
-        gateway.tell(cold, *(Engine(f"e{i}", "medium") for i in range(1, engines)))
-        gateway.choice.typical_work, gateway.choice.class_counts = [work] * 3, [50] * 3
-        for name, node in gateway.choice.engines.items():
-            node.closed_until = gateway.now + 100.0 if name != "e0" else 0.0
+        harness.tell(cold, *(Engine(f"e{i}", "medium") for i in range(1, engines)))
+        harness.choice.typical_work, harness.choice.class_counts = [work] * 3, [50] * 3
+        for name, node in harness.choice.engines.items():
+            node.closed_until = harness.now + 100.0 if name != "e0" else 0.0
         for number in range(max(1, round(asked / work / 200))):
-            sent += work * len(sends(gateway.ask(cls, wait=20.0, work=work, id=f"{index}-{number}")))
+            sent += work * len(sends(harness.ask(cls, wait=20.0, work=work, id=f"{index}-{number}")))
         for _ in range(9):
-            sent += work * len(sends(gateway.sweep(gateway.now + 0.1)))  # over the window of the budget
+            sent += work * len(sends(harness.sweep(harness.now + 0.1)))  # over the window of the budget
     assert 0.5 < sent <= 2.0 * 0.37 * 8.0 * 1.0  # twice what it can do at the window's begin
 
 
-def test_a_gateway_that_just_started_sends_nothing_to_a_cold_engine() -> None:
-    gateway = Gateway(make_settings(), engines=0)
-    gateway.choice = Choice(make_settings(), gateway.now, 1)
-    gateway.tell(Engine("e0", "medium", started=99.0))
-    assert not sends(gateway.ask(work=0.05))
+def test_a_router_that_just_started_sends_nothing_to_a_warming_engine() -> None:
+    harness = RouterHarness(make_settings(), engines=0)
+    harness.choice = Choice(make_settings(), harness.now, 1)
+    harness.tell(Engine("e0", "medium", started=99.0))
+    assert not sends(harness.ask(work=0.05))
 
 
-def test_chance_arrivals_within_a_small_share_are_not_past_it() -> None:
-    gateway = Gateway(make_settings(balancers=100, tenants=(Tenant("a", 100.0),), over_quota_weight=0.05))
+def test_chance_arrivals_within_a_small_quota_are_not_over_it() -> None:
+    harness = RouterHarness(
+        make_settings(balancers=100, tenants=(Tenant("a", 100.0),), over_quota_weight=0.05)
+    )
     for i in range(3):
-        gateway.ask(work=0.1, tenant="a", id=f"a{i}")
-    assert not any(job.over_quota for job in gateway.choice.queries.values())
+        harness.ask(work=0.1, tenant="a", id=f"a{i}")
+    assert not any(job.over_quota for job in harness.choice.queries.values())
 
 
 def test_what_comes_back_too_late_for_a_sweep_is_answered_at_once() -> None:
-    gateway = Gateway(make_settings(classes=(SHORT, LONG)), engines=3)
-    [send] = sends(gateway.ask(work=0.05, wait=4.0))
-    gateway.now += 3.8
-    assert finals(gateway.end(send, Outcome.RESET))
+    harness = RouterHarness(make_settings(classes=(SHORT, LONG)), engines=3)
+    [send] = sends(harness.ask(work=0.05, wait=4.0))
+    harness.now += 3.8
+    assert finals(harness.end(send, Outcome.RESET))
 
 
 def test_there_is_always_a_timer_while_a_query_is_open() -> None:
-    gateway = Gateway(make_settings(), engines=3)
-    actions = gateway.ask(work=0.05)
+    harness = RouterHarness(make_settings(), engines=3)
+    actions = harness.ask(work=0.05)
     for _ in range(20):
         [timer] = [a for a in actions if isinstance(a, SetTimer)]
-        actions = gateway.sweep(gateway.now + timer.delay - 1e-7)
-        if not gateway.choice.queries:
+        actions = harness.sweep(harness.now + timer.delay - 1e-7)
+        if not harness.choice.queries:
             break
-    assert not gateway.choice.queries or any(isinstance(a, SetTimer) for a in actions)
+    assert not harness.choice.queries or any(isinstance(a, SetTimer) for a in actions)
 
 
 @pytest.mark.parametrize("index", [-1, 200])
-def test_an_index_outside_the_gateways_is_refused_by_name(index: int) -> None:
+def test_an_index_outside_the_routers_is_rejected_by_name(index: int) -> None:
     with pytest.raises(ValueError, match="index"):
         make_settings(balancers=200, index=index)
 
 
 def test_an_engine_that_is_late_with_what_is_out_is_left_before_it_answers() -> None:
-    gateway = gateway_of(200, engines=3)
-    [send] = sends(gateway.ask(work=0.1, data_set=1))
-    gateway.now += 0.35
-    [other] = sends(gateway.ask(work=0.1, data_set=1))
+    harness = harness_of(200, engines=3)
+    [send] = sends(harness.ask(work=0.1, data_set=1))
+    harness.now += 0.35
+    [other] = sends(harness.ask(work=0.1, data_set=1))
     assert other.engine != send.engine
 
 
-def test_what_was_given_up_tells_of_a_slow_engine() -> None:
-    gateway = gateway_of(200, engines=2)
-    [send] = sends(gateway.ask("long", wait=20.0, work=0.9))
-    before = gateway.choice.engines[send.engine].slowdown
-    gateway.end(send, Outcome.CANCELLED, 5.0)
-    assert gateway.choice.engines[send.engine].slowdown > before
+def test_abandoned_attempts_show_a_slow_engine() -> None:
+    harness = harness_of(200, engines=2)
+    [send] = sends(harness.ask("long", wait=20.0, work=0.9))
+    before = harness.choice.engines[send.engine].slowdown
+    harness.end(send, Outcome.CANCELLED, 5.0)
+    assert harness.choice.engines[send.engine].slowdown > before
 
 
-def test_reported_memory_keeps_gateways_off_a_full_engine_and_absent_reports_change_nothing() -> None:
+def test_reported_memory_keeps_routers_off_a_full_engine_and_absent_reports_change_nothing() -> None:
     config = make_settings(balancers=200, load_report_fields=("memory_granted",))
-    full, silent = Gateway(config, engines=2), Gateway(config, engines=2)
-    for gateway, report in ((full, {"memory_granted": 1.5}), (silent, None)):
-        [send] = sends(gateway.ask(work=0.1, data_set=1))
-        gateway.end(send, Outcome.OK, 0.1, work=0.1, load_report=report)
+    full, silent = RouterHarness(config, engines=2), RouterHarness(config, engines=2)
+    for harness, report in ((full, {"memory_granted": 1.5}), (silent, None)):
+        [send] = sends(harness.ask(work=0.1, data_set=1))
+        harness.end(send, Outcome.OK, 0.1, work=0.1, load_report=report)
         used = set()
         for _ in range(20):
-            [again] = sends(gateway.ask(work=0.1, data_set=1))
-            gateway.end(again, Outcome.OK, 0.1, work=0.1)
+            [again] = sends(harness.ask(work=0.1, data_set=1))
+            harness.end(again, Outcome.OK, 0.1, work=0.1)
             used.add(again.engine)
         assert (send.engine in used) is (report is None)
 
 
-def chosen(gateway: Gateway, steps: int, **popular: Any) -> Counter[str]:
-    """Where a gateway's queries go over some seconds, every sixth of them the popular one."""
+def chosen(harness: RouterHarness, steps: int, **popular: Any) -> Counter[str]:
+    """Where a router's queries go over some seconds, every sixth of them the popular one."""
     got: Counter[str] = Counter()
     for step in range(steps):
-        gateway.now += 0.2
+        harness.now += 0.2
         fields = popular if popular and step % 6 == 5 else {"cls": "short", "data_set": 100 + step}
-        for send in sends(gateway.ask(work=0.3, **fields)):
+        for send in sends(harness.ask(work=0.3, **fields)):
             got[send.engine] += not popular or fields is popular
-            gateway.end(send, Outcome.OK, 0.3, work=0.3)
+            harness.end(send, Outcome.OK, 0.3, work=0.3)
     return got
 
 
 @pytest.mark.parametrize("balancers", [6, 12, 120])
-def test_a_popular_data_set_jams_no_engine_however_many_gateways_ask_for_it(balancers: int) -> None:
+def test_a_popular_data_set_overloads_no_engine_however_many_routers_ask_for_it(balancers: int) -> None:
     # Six is the first number at which a share of an engine, 16 threads, is less than the widest query's 3.
     steps = 24 * 120 // balancers
     got = sum(
-        (chosen(gateway_of(balancers, n), steps, cls="load", data_set=3) for n in range(balancers)), Counter()
+        (chosen(harness_of(balancers, n), steps, cls="load", data_set=3) for n in range(balancers)), Counter()
     )
     assert got.total() == 480 and max(got.values()) < 2.2 * got.total() / FLEET
 
 
-def test_each_of_many_gateways_keeps_to_few_engines_and_each_engine_to_as_many_gateways() -> None:
-    used = [chosen(gateway_of(200, index), 60) for index in range(200)]
+def test_each_of_many_routers_keeps_to_few_engines_and_each_engine_to_as_many_routers() -> None:
+    used = [chosen(harness_of(200, index), 60) for index in range(200)]
     assert max(len(engines) for engines in used) <= 16
     met = Counter(engine for engines in used for engine in engines)
     assert len(met) == FLEET and max(met.values()) < 1.2 * min(met.values())
 
 
 def test_few_of_the_many_keep_to_more_engines_than_their_part_of_all() -> None:
-    near = [gateway_of(6, index, engines=60).choice.window_engines for index in range(6)]
+    near = [harness_of(6, index, engines=60).choice.window_engines for index in range(6)]
     assert {len(engines) for engines in near} == {30} and len(set().union(*near)) == 60
 
 
-def test_an_engine_that_goes_changes_few_of_the_engines_that_gateways_keep_to() -> None:
+def test_an_engine_that_goes_changes_few_of_the_engines_that_routers_keep_to() -> None:
     changed = 0
     for index in range(50):
-        gateway = gateway_of(50, index)
-        before = gateway.choice.window_engines
-        gateway.tell(Engine("e7", "medium", state=EngineState.GONE), how=ListKind.CHANGES)
-        changed += len(gateway.choice.window_engines - before)
+        harness = harness_of(50, index)
+        before = harness.choice.window_engines
+        harness.tell(Engine("e7", "medium", state=EngineState.GONE), how=ListKind.CHANGES)
+        changed += len(harness.choice.window_engines - before)
     assert 0 < changed <= 2 * 50
 
 
-def test_a_gateway_that_is_busier_with_all_tenants_takes_more_engines_and_a_larger_share() -> None:
-    tenants = (Tenant("a", 200.0), Tenant("b", 100.0))  # of 100 gateways: 2 and 1 a second for each
+def test_a_router_that_is_busier_with_all_tenants_takes_more_engines_and_a_larger_share() -> None:
+    tenants = (Tenant("a", 200.0), Tenant("b", 100.0))  # of 100 routers: 2 and 1 a second for each
     found = {}
     for name, asks in (("all", "aab" * 4), ("one", "aab" + "a" * 9)):  # 12 a second, four times the mean
-        gateway = Gateway(make_settings(balancers=100, tenants=tenants), engines=FLEET)
+        harness = RouterHarness(make_settings(balancers=100, tenants=tenants), engines=FLEET)
         over = 0
         for second in range(10):
             for number, tenant in enumerate(asks):
-                gateway.now += 1.0 / 12.0
-                for send in sends(gateway.ask(work=0.1, tenant=tenant, id=f"{second}-{number}")):
-                    over += second > 4 and gateway.choice.queries[send.id].over_quota  # it takes some to tell
-                    gateway.end(send, Outcome.OK, 0.1, work=0.1)
-        found[name] = over, len(gateway.choice.window_engines)
+                harness.now += 1.0 / 12.0
+                for send in sends(harness.ask(work=0.1, tenant=tenant, id=f"{second}-{number}")):
+                    over += second > 4 and harness.choice.queries[send.id].over_quota  # it takes some to tell
+                    harness.end(send, Outcome.OK, 0.1, work=0.1)
+        found[name] = over, len(harness.choice.window_engines)
     assert found["all"][0] < 30 and found["all"][1] > 30  # of 60 queries, and of 34 engines
     assert found["one"][0] > 40 and found["one"][1] < 24
 
 
-def test_gateways_with_the_same_seed_do_not_choose_alike() -> None:
+def test_routers_with_the_same_seed_do_not_choose_alike() -> None:
     first = [
-        tuple(send.engine for _ in range(6) for send in sends(gateway.ask(work=0.1)))
-        for gateway in (gateway_of(200, index) for index in range(40))
+        tuple(send.engine for _ in range(6) for send in sends(harness.ask(work=0.1)))
+        for harness in (harness_of(200, index) for index in range(40))
     ]
     assert len(set(first)) == 40
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -1,4 +1,4 @@
-"""The engines that one of many gateways works with: agreed, even, and wider while few are reliable."""
+"""The engines that one of many routers works with: agreed, even, and wider while few are reliable."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from conftest import LONG, SHORT, Gateway, finals, make_settings, sends
+from conftest import LONG, SHORT, RouterHarness, finals, make_settings, sends
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -35,18 +35,18 @@
     return ring, names
 
 
-def gateway_of(
+def harness_of(
     index: int = 0, *, engines: int = ENGINES, balancers: int = ROUTERS, **changes: Any
-) -> Gateway:
+) -> RouterHarness:
     settings = make_settings(balancers=balancers, index=index, **changes)
-    gateway = Gateway(settings, engines=0)
-    gateway.tell(*(Engine(f"e{n}", "medium", ZONES[n % 6]) for n in range(engines)))
-    return gateway
+    harness = RouterHarness(settings, engines=0)
+    harness.tell(*(Engine(f"e{n}", "medium", ZONES[n % 6]) for n in range(engines)))
+    return harness
 
 
-def subset(gateway: Gateway) -> set[str]:
+def subset(harness: RouterHarness) -> set[str]:
     """The engines that may be sent something."""
-    return {engine for engine, node in gateway.choice.engines.items() if gateway.choice.is_usable(node)}
+    return {engine for engine, node in harness.choice.engines.items() if harness.choice.is_usable(node)}
 
 
 @given(routers=st.integers(1, 60), engines=st.integers(1, 60), reach=st.integers(1, 70))
@@ -72,26 +72,26 @@
     assert len(met) == 3200 and min(met.values()) >= 0.8 * 12 and max(met.values()) <= 1.1 * 12
 
 
-def test_gateways_keep_their_engines_while_the_count_of_gateways_differs() -> None:
-    before = [subset(gateway_of(index)) for index in range(20)]
-    assert [subset(gateway_of(index, balancers=220)) for index in range(20)] == before
+def test_routers_keep_their_engines_while_the_count_of_routers_differs() -> None:
+    before = [subset(harness_of(index)) for index in range(20)]
+    assert [subset(harness_of(index, balancers=220)) for index in range(20)] == before
 
 
-def test_a_change_of_the_list_moves_at_most_two_engines_of_each_gateway() -> None:
+def test_a_change_of_the_list_moves_at_most_two_engines_of_each_router() -> None:
     moved = []
     for index in range(40):
-        gateway = gateway_of(index)
-        before = subset(gateway)
-        gateway.tell(Engine("e7", "medium", state=EngineState.GONE), how=ListKind.CHANGES)
-        moved.append(len(subset(gateway) - before))
-        gateway.tell(Engine("e7", "medium", ZONES[1]), how=ListKind.CHANGES)
-        assert subset(gateway) == before
+        harness = harness_of(index)
+        before = subset(harness)
+        harness.tell(Engine("e7", "medium", state=EngineState.GONE), how=ListKind.CHANGES)
+        moved.append(len(subset(harness) - before))
+        harness.tell(Engine("e7", "medium", ZONES[1]), how=ListKind.CHANGES)
+        assert subset(harness) == before
     assert sum(moved) > 0 and max(moved) <= 2
 
 
-def test_a_restarted_gateway_has_the_engines_that_it_had_before() -> None:
-    assert subset(gateway_of(7)) == subset(gateway_of(7))
-    assert subset(gateway_of(7)) != subset(gateway_of(8))
+def test_a_restarted_router_has_the_engines_that_it_had_before() -> None:
+    assert subset(harness_of(7)) == subset(harness_of(7))
+    assert subset(harness_of(7)) != subset(harness_of(8))
 
 
 @pytest.mark.parametrize("engines", [80, 3200])
@@ -107,18 +107,18 @@
         return cost(self, *args)
 
     monkeypatch.setattr(Placement, "_cost", counted)
-    gateway = gateway_of(engines=engines, balancers=2400)
+    harness = harness_of(engines=engines, balancers=2400)
     for _ in range(10):
-        [send] = sends(gateway.ask(work=0.1))
-        gateway.end(send, Outcome.OK, 0.1)
+        [send] = sends(harness.ask(work=0.1))
+        harness.end(send, Outcome.OK, 0.1)
     assert (
         weighed == 10 * MIN_WINDOW
-        and len(gateway.choice.engines) == len(gateway.choice.usable_engines) == MIN_WINDOW
+        and len(harness.choice.engines) == len(harness.choice.usable_engines) == MIN_WINDOW
     )
 
 
 def test_a_change_of_the_list_costs_by_its_changes(monkeypatch: pytest.MonkeyPatch) -> None:
-    gateway = gateway_of(engines=3200, balancers=2400)
+    harness = harness_of(engines=3200, balancers=2400)
     looked: list[str] = []
     fits = HashRing.fits
 
@@ -127,15 +127,15 @@
         return fits(self, entry)
 
     monkeypatch.setattr(HashRing, "fits", counted)
-    gateway.tell(Engine("e5", "medium", state=EngineState.DRAINING), how=ListKind.CHANGES)
+    harness.tell(Engine("e5", "medium", state=EngineState.DRAINING), how=ListKind.CHANGES)
     assert set(looked) == {"e5"}
 
 
 def test_a_subset_has_enough_of_its_own_zone_and_of_others_where_the_zone_has_too_few() -> None:
-    gateway = gateway_of(zones=ZONES, zone=ZONES[2])
-    zones = Counter(node.entry.zone for node in gateway.choice.usable_engines)
+    harness = harness_of(zones=ZONES, zone=ZONES[2])
+    zones = Counter(node.entry.zone for node in harness.choice.usable_engines)
     assert zones[ZONES[2]] >= MIN_WINDOW and MIN_WINDOW < sum(zones.values()) <= 2 * MIN_WINDOW
-    small = Gateway(make_settings(balancers=ROUTERS, zones=ZONES, zone=ZONES[2]), engines=0)
+    small = RouterHarness(make_settings(balancers=ROUTERS, zones=ZONES, zone=ZONES[2]), engines=0)
     small.tell(*(Engine(f"e{n}", "medium", ZONES[2 if n < 3 else 4]) for n in range(ENGINES)))
     assert {"e0", "e1", "e2"} <= subset(small) and len(subset(small)) >= MIN_WINDOW
 
@@ -144,89 +144,89 @@
     kinds = (EngineKind("medium", 8.0, 16000.0), EngineKind("rare", 8.0, 16000.0))
     confined = replace(LONG, allowed_kinds=frozenset({"rare"}))
     settings = make_settings(balancers=ROUTERS, index=3, kinds=kinds, classes=(SHORT, confined))
-    gateway = Gateway(settings, engines=0)
-    gateway.tell(*(Engine(f"e{n}", "rare" if n % 40 == 0 else "medium") for n in range(ENGINES)))
-    rare = {engine for engine in subset(gateway) if int(engine[1:]) % 40 == 0}
+    harness = RouterHarness(settings, engines=0)
+    harness.tell(*(Engine(f"e{n}", "rare" if n % 40 == 0 else "medium") for n in range(ENGINES)))
+    rare = {engine for engine in subset(harness) if int(engine[1:]) % 40 == 0}
     assert len(rare) == ENGINES / 40  # all ten of them
-    [send] = sends(gateway.ask("long", wait=20.0, work=0.5))
+    [send] = sends(harness.ask("long", wait=20.0, work=0.5))
     assert send.engine in rare
 
 
-def break_down(gateway: Gateway, engines: set[str], way: str) -> None:
+def break_down(harness: RouterHarness, engines: set[str], way: str) -> None:
     """Makes engines of no use, as the list, operators, a restart or failing connections do."""
     if way == "by hand":
-        gateway.do(ManualOverridesChanged(frozenset(engines)))
+        harness.do(ManualOverridesChanged(frozenset(engines)))
     elif way == "cold":
-        fresh = [Engine(name, "medium", started=gateway.now) for name in sorted(engines)]
-        gateway.tell(*fresh, how=ListKind.CHANGES)
+        fresh = [Engine(name, "medium", started=harness.now) for name in sorted(engines)]
+        harness.tell(*fresh, how=ListKind.CHANGES)
     else:
         for name in engines:
-            gateway.choice.engines[name].ejected_at = gateway.now
-            gateway.choice.engines[name].trial_at = gateway.now + 1e6
+            harness.choice.engines[name].ejected_at = harness.now
+            harness.choice.engines[name].trial_at = harness.now + 1e6
 
 
 @pytest.mark.parametrize("way", ["by hand", "cold", "ejected"])
 def test_while_few_are_reliable_the_subset_is_wider_in_the_agreed_order(way: str) -> None:
-    gateway = gateway_of(5)
-    choice, before = gateway.choice, subset(gateway)
+    harness = harness_of(5)
+    choice, before = harness.choice, subset(harness)
     order = choice.rings[0].window(choice.positions.own, 0, ENGINES)
     bad = set(order[: MIN_WINDOW * 3 // 4])
-    break_down(gateway, bad, way)
+    break_down(harness, bad, way)
     for _ in range(4):
-        [send] = sends(gateway.ask(work=0.1))
+        [send] = sends(harness.ask(work=0.1))
         assert send.engine not in bad or way == "cold"
-        gateway.end(send, Outcome.OK, 0.1)
+        harness.end(send, Outcome.OK, 0.1)
     wider = {engine for engine, node in choice.engines.items() if node.in_subset}
     assert wider == set(order[: len(wider)]) and MIN_WINDOW < len(wider) <= (1 + MAX_EXTENSION) * MIN_WINDOW
     assert len(wider - bad) >= MIN_WINDOW / 2
     if way == "by hand":
-        gateway.do(ManualOverridesChanged(frozenset()))
-        gateway.now += 60.0  # what operators give back is cold for a while
+        harness.do(ManualOverridesChanged(frozenset()))
+        harness.now += 60.0  # what operators give back is cold for a while
     elif way == "cold":
-        gateway.now += 60.0
+        harness.now += 60.0
     else:
         for name in bad:
             choice.engines[name].ejected_at = None
     for _ in range(8):
-        [send] = sends(gateway.ask(work=0.1))
-        gateway.end(send, Outcome.OK, 0.1)
-    assert subset(gateway) == before
+        [send] = sends(harness.ask(work=0.1))
+        harness.end(send, Outcome.OK, 0.1)
+    assert subset(harness) == before
 
 
 def test_a_subset_at_the_edge_of_too_few_does_not_go_to_and_fro() -> None:
-    gateway = gateway_of(5)
-    order = gateway.choice.rings[0].window(gateway.choice.positions.own, 0, ENGINES)
-    break_down(gateway, set(order[: MIN_WINDOW // 2 + 1]), "ejected")
-    gateway.ask(work=0.1)
-    gateway.ask(work=0.1)
-    wide = set(gateway.choice.engines)
+    harness = harness_of(5)
+    order = harness.choice.rings[0].window(harness.choice.positions.own, 0, ENGINES)
+    break_down(harness, set(order[: MIN_WINDOW // 2 + 1]), "ejected")
+    harness.ask(work=0.1)
+    harness.ask(work=0.1)
+    wide = set(harness.choice.engines)
     assert len(wide) > MIN_WINDOW
-    gateway.choice.engines[order[0]].ejected_at = None  # one more than too few
+    harness.choice.engines[order[0]].ejected_at = None  # one more than too few
     for _ in range(5):
-        gateway.ask(work=0.1)
-    assert set(gateway.choice.engines) >= wide
+        harness.ask(work=0.1)
+    assert set(harness.choice.engines) >= wide
 
 
 def test_a_subset_has_a_bound_where_nothing_is_reliable() -> None:
-    gateway = gateway_of(5)
+    harness = harness_of(5)
     for _ in range(40):
-        break_down(gateway, set(gateway.choice.engines), "ejected")
-        gateway.ask(work=0.1)
-    assert len(gateway.choice.engines) <= (1 + MAX_EXTENSION) * MIN_WINDOW + MIN_WINDOW
+        break_down(harness, set(harness.choice.engines), "ejected")
+        harness.ask(work=0.1)
+    assert len(harness.choice.engines) <= (1 + MAX_EXTENSION) * MIN_WINDOW + MIN_WINDOW
 
 
 @pytest.mark.parametrize("routers", [50, 200, 2400])
-def test_the_parts_of_a_cold_engine_are_dealt_once_whatever_gateways_take_for_their_traffic(
+def test_the_parts_of_a_warming_engine_are_dealt_once_whatever_routers_take_for_their_traffic(
     routers: int,
 ) -> None:
-    gateways = [gateway_of(index, engines=64, balancers=routers) for index in range(0, routers, 1)][:200]
-    for number, gateway in enumerate(gateways):  # some are busy, and work with more engines for it
-        gateway.choice.window_size = MIN_WINDOW * (1 + number % 4)
-        gateway.choice.subset_stale = True
-        gateway.choice.use_window(MIN_WINDOW)
+    harnesses = [harness_of(index, engines=64, balancers=routers) for index in range(0, routers, 1)][:200]
+    for number, harness in enumerate(harnesses):  # some are busy, and work with more engines for it
+        harness.choice.window_size = MIN_WINDOW * (1 + number % 4)
+        harness.choice.subset_stale = True
+        harness.choice.use_window(MIN_WINDOW)
     numbers: dict[str, list[int]] = {}
-    for gateway in gateways:
-        for engine, node in gateway.choice.engines.items():
+    for harness in harnesses:
+        for engine, node in harness.choice.engines.items():
             if node.share_index >= 0:
                 numbers.setdefault(engine, []).append(node.share_index)
     assert len(numbers) == 64
@@ -234,43 +234,43 @@
 
 
 def test_an_engine_that_left_the_subset_is_followed_until_what_is_out_there_has_ended() -> None:
-    gateway = gateway_of(5)
-    [send] = sends(gateway.ask(work=0.1))
-    gateway.do(SettingsChanged(make_settings(balancers=ROUTERS, index=105)))
-    assert send.engine in gateway.choice.engines and send.engine not in subset(gateway)
-    assert not finals(gateway.end(send, Outcome.OK, 0.1)) and not gateway.choice.queries
-    gateway.sweep(gateway.now + 0.3)
-    assert send.engine not in gateway.choice.engines
-
-
-def test_an_engine_that_started_unseen_is_cold_when_the_subset_takes_it_in() -> None:
-    gateway = gateway_of(5)
-    outside = sorted(set(gateway.choice.engine_list) - subset(gateway))
-    fresh = [Engine(name, "medium", started=gateway.now) for name in outside]
-    gateway.tell(*fresh, how=ListKind.CHANGES)
-    break_down(gateway, subset(gateway), "ejected")
-    gateway.ask(work=0.1)
-    gateway.ask(work=0.1)
-    taken_in = [gateway.choice.engines[name] for name in outside if name in gateway.choice.engines]
-    assert taken_in and all(gateway.choice._warming_up(node) for node in taken_in)
-
-
-def test_few_gateways_work_with_all_engines() -> None:
-    gateway = gateway_of(1, engines=60, balancers=3)
-    assert len(subset(gateway)) == 60
-    gateway.do(SettingsChanged(make_settings(balancers=ROUTERS, index=1)))
-    assert len(subset(gateway)) == MIN_WINDOW
-    gateway.do(SettingsChanged(make_settings(balancers=3, index=1)))
-    assert len(subset(gateway)) == 60
+    harness = harness_of(5)
+    [send] = sends(harness.ask(work=0.1))
+    harness.do(SettingsChanged(make_settings(balancers=ROUTERS, index=105)))
+    assert send.engine in harness.choice.engines and send.engine not in subset(harness)
+    assert not finals(harness.end(send, Outcome.OK, 0.1)) and not harness.choice.queries
+    harness.sweep(harness.now + 0.3)
+    assert send.engine not in harness.choice.engines
+
+
+def test_an_engine_that_started_unseen_warms_up_when_the_subset_takes_it_in() -> None:
+    harness = harness_of(5)
+    outside = sorted(set(harness.choice.engine_list) - subset(harness))
+    fresh = [Engine(name, "medium", started=harness.now) for name in outside]
+    harness.tell(*fresh, how=ListKind.CHANGES)
+    break_down(harness, subset(harness), "ejected")
+    harness.ask(work=0.1)
+    harness.ask(work=0.1)
+    taken_in = [harness.choice.engines[name] for name in outside if name in harness.choice.engines]
+    assert taken_in and all(harness.choice._warming_up(node) for node in taken_in)
+
+
+def test_few_routers_work_with_all_engines() -> None:
+    harness = harness_of(1, engines=60, balancers=3)
+    assert len(subset(harness)) == 60
+    harness.do(SettingsChanged(make_settings(balancers=ROUTERS, index=1)))
+    assert len(subset(harness)) == MIN_WINDOW
+    harness.do(SettingsChanged(make_settings(balancers=3, index=1)))
+    assert len(subset(harness)) == 60
 
 
 def test_nothing_is_sent_to_an_engine_that_left_the_list_or_drains() -> None:
-    gateway = gateway_of(5)
-    for name in sorted(subset(gateway))[:6]:
+    harness = harness_of(5)
+    for name in sorted(subset(harness))[:6]:
         state = EngineState.GONE if len(name) % 2 else EngineState.DRAINING
-        gateway.tell(Engine(name, "medium", state=state), how=ListKind.CHANGES)
-        assert name not in subset(gateway) and len(subset(gateway)) == MIN_WINDOW
+        harness.tell(Engine(name, "medium", state=state), how=ListKind.CHANGES)
+        assert name not in subset(harness) and len(subset(harness)) == MIN_WINDOW
         for _ in range(20):
-            out: list[Send] = sends(gateway.ask(work=0.1))
+            out: list[Send] = sends(harness.ask(work=0.1))
             assert out and name not in {send.engine for send in out}
-            gateway.end(out[0], Outcome.OK, 0.1)
+            harness.end(out[0], Outcome.OK, 0.1)
