--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -123,7 +123,7 @@
         )
 
     def crowd(self) -> None:
-        """Makes every engine show pressure, as after a full refusal."""
+        """Makes every engine show pressure, as after a FULL answer."""
         for node in self.choice.engines.values():
             node.full_until = self.now + 1000.0
 
--- a/tests/streams.py
+++ b/tests/streams.py
@@ -119,7 +119,7 @@
         assert not isinstance(event, str)
         if isinstance(event, api.AttemptEnded):
             if self.out.get(event.id, ("", -1, 0.0))[:2] != (event.engine, event.attempt):
-                return []  # called off meanwhile
+                return []  # cancelled meanwhile
             del self.out[event.id]
         return [event]
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""What engines that have just started get from all routers together, however many of those have started too.
+"""Slow start: what warming engines get from all routers together, even if many routers have just started.
 
 Beyond the budget N of the rules, in queries of mean work, only 2 x root of N + 2 are put down to chance.
 """
@@ -23,7 +23,7 @@
 
 
 class Fleet:
-    """So many routers and engines on one clock; the first engines have started two seconds ago."""
+    """Routers and engines on one clock; the first ``cold`` engines have started two seconds ago."""
 
     def __init__(self, balancers: int, engines: int, cold: int, seed: int) -> None:
         self.draw, self.now, self.began = Random(seed), 100.0, 98.0
@@ -39,7 +39,7 @@
             self.restart(index)
 
     def restart(self, index: int) -> None:
-        """A router that starts now, and knows nothing of what its former self sent."""
+        """Restart a router, which then does not know what it sent before."""
         harness = RouterHarness(replace(self.settings, index=index), engines=0)
         seed = self.asked + index
         harness.choice = type(harness.choice)(replace(self.settings, index=index), self.now, seed)
@@ -48,7 +48,7 @@
         self.harnesses[index : index + 1] = [harness]
 
     def run(self, seconds: float, rate: Callable[[str], float], outcome: Outcome = Outcome.OK) -> None:
-        """Queries of each class at so many a second over all routers; each ends in a step, in that way."""
+        """Send queries of each class at a rate per second over all routers; each ends in its step."""
         until, step = self.now + seconds, 0.05
         while self.now < until:
             self.now += step
@@ -88,7 +88,7 @@
         return worst
 
     def part(self) -> float:
-        """What the cold engines got, in core-seconds."""
+        """Work that the warming engines got, in core-seconds."""
         return sum(weight * MEAN for sent in self.sent.values() for _, weight in sent)
 
 
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""What a router of many learns by asking: probes, progress notes, lateness of single attempts."""
+"""What one of many routers learns: health checks, progress notes, lateness of single attempts."""
 
 from __future__ import annotations
 
@@ -229,7 +229,9 @@
     )
     [send] = sends(harness.ask(work=0.1, id="a"))
     harness.end(send, Outcome.OK, work=0.1)
-    assert not finals(harness.end(send, Outcome.ERROR)) and not harness.choice.queries  # told twice
+    assert (
+        not finals(harness.end(send, Outcome.ERROR)) and not harness.choice.queries
+    )  # the end is reported twice
     note(harness, send.engine, 0.1)  # on what is over, and on what never was
     note(harness, "nowhere", 0.0, id="b", attempt=7)
     assert not harness.do(HealthCheckEnded("nowhere", 0.001, Outcome.OK))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,12 +11,12 @@
 from grebeproxy.policy.interface import Engine, EngineState, ListKind, Outcome, Rules, Tenant
 
 ENGINES, CLASSES = 30, (SHORT, LONG)
-# A ramp so long that a cold engine can do the same all the time of a test.
+# A slow start so long that the capacity of a warming engine hardly changes during a test.
 COLD = replace(RULES, overload_factor=4.0, overload_time=3.0, slow_start_fraction=0.44, slow_start_time=1e6)
 
 
 def fleet(balancers: int, cold: int, engines: int = ENGINES, age: float = 2.0) -> list[RouterHarness]:
-    """So many routers; the last of the engines started lately."""
+    """A number of routers; the last of the engines have started lately."""
     harnesses = [
         RouterHarness(make_settings(balancers=balancers, index=i, rules=COLD), engines=0)
         for i in range(balancers)
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("balancers", [40, 200])
 def test_where_most_engines_warm_up_each_is_sent_what_it_can_do_now(balancers: int) -> None:
-    # Six in ten are cold at 0.44 of their capacity. The warm ones had been sent twice their part, and jammed.
+    # Six in ten warm up at 0.44 of their capacity. The warm ones used to get twice their part.
     harnesses, work = fleet(balancers, cold=18), {True: 0.0, False: 0.0}
     for step in range(9600 // balancers):
         for index, harness in enumerate(harnesses):
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("balancers", [3, 40, 200])
 def test_in_a_flood_the_warming_budget_bounds_what_all_send_to_a_warming_engine(balancers: int) -> None:
-    # One engine of two is cold; after a silence many times what both can do is asked at once.
+    # One engine of two warms up; after a pause, many times what both can do is asked at once.
     harnesses, sent = fleet(balancers, cold=1, engines=2), 0.0
     for harness in harnesses:  # they know what is usual
         harness.choice.typical_work, harness.choice.class_counts = [0.1, 1.0, 1.0], [50, 50, 0]
@@ -68,9 +68,9 @@
     harness = fleet(40, cold=1, engines=1)[0]
     node = harness.choice.engines["e0"]
     for _ in range(20):
-        harness.now += 30.0 - harness.now % 30.0  # so little comes that the cold budget is in no way
+        harness.now += 30.0 - harness.now % 30.0  # so few queries that the warming budget does not limit them
         out = sends(harness.ask(work=0.1))
-        while not out and harness.now % 30.0 < 4.0:  # until the engine's time is dealt to this one
+        while not out and harness.now % 30.0 < 4.0:  # until this router has a unit of the engine's slot
             out = sends(harness.sweep(harness.now + 0.2)) or sends(harness.ask(work=0.1))
         [send] = out
         harness.now += 0.1 / 0.44
@@ -109,7 +109,7 @@
 
 @pytest.mark.parametrize("balancers", [40, 200])
 def test_reports_cancelled_one_after_another_bound_what_all_routers_have_in_flight(balancers: int) -> None:
-    # Nothing ends in time: no answer tells of the jam, only what was called off does.
+    # Nothing ends in time: no answer shows the overload, only cancelled attempts do.
     threads = 0
     for harness in fleet(balancers, cold=0):
         for _ in range(4):
@@ -124,7 +124,7 @@
 
 
 def test_engines_that_are_slow_for_what_they_can_do_leave_more_to_the_other_kind() -> None:
-    # The warm ones are jammed, the cold ones are not; an error that comes soon is no sign of speed.
+    # The warm ones are overloaded, the warming ones are not; an early error does not show speed.
     harness = fleet(40, cold=15)[0]
     choice = harness.choice
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -201,7 +201,7 @@
 
 def test_routers_keep_loads_of_a_data_set_apart_from_what_would_wait_for_them() -> None:
     went: dict[tuple[int, str], set[str]] = {}
-    for index in range(3):  # none is told of what the others send
+    for index in range(3):  # none knows what the others send
         harness = RouterHarness(waiting_settings(balancers=3, index=index), engines=5)
         for number in range(90):
             harness.now += 0.2
@@ -217,7 +217,7 @@
 
 
 def test_routers_begin_at_different_home_engines() -> None:
-    """Guards against loads of one data set that meet at an engine, where each waits for the other's end."""
+    """Loads of one data set at the same engine would wait for each other's end."""
     first = set()
     for index in range(3):
         harness = RouterHarness(waiting_settings(balancers=3, index=index), engines=5)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -151,7 +151,7 @@
     assert any(type(a).__name__ == "Watch" for a in harness.sweep(103.0))
 
 
-# 4: cold engines
+# 4: warming engines
 
 
 def test_a_warming_engine_gets_no_more_than_its_budget() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -55,7 +55,7 @@
 
 def test_all_that_is_ours_is_bounded_while_the_engines_are_slow() -> None:
     sent = []
-    for index in range(40):  # to some there is dealt nothing
+    for index in range(40):  # some get no unit of the slot
         calm, slow = harness_of(200, index), harness_of(200, index)
         slow.choice.fleet_slowdown = 4.0
         for node in slow.choice.engines.values():
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -181,7 +181,7 @@
     assert len(wider - bad) >= MIN_WINDOW / 2
     if way == "by hand":
         harness.do(ManualOverridesChanged(frozenset()))
-        harness.now += 60.0  # what operators give back is cold for a while
+        harness.now += 60.0  # engines that operators give back warm up first
     elif way == "cold":
         harness.now += 60.0
     else:
