--- a/grebeproxy/lab/capacity/measure/statement.py
+++ b/grebeproxy/lab/capacity/measure/statement.py
@@ -150,7 +150,7 @@
         elif isinstance(action, api.Send):
             number = self._attempts.get(action.id, -1) + 1
             self._attempts[action.id] = number
-            work = self._choice.jobs[action.id].work
+            work = self._choice.queries[action.id].work
             ended = api.AttemptEnded(action.id, action.engine, number, api.Outcome.OK, work, True, work)
             self._schedule(now + work, ended)
 
--- a/grebeproxy/lab/scale/hollow_routers.py
+++ b/grebeproxy/lab/scale/hollow_routers.py
@@ -74,7 +74,7 @@
 
     def engines_known(self) -> list[int]:
         """How many engines the decision module of each running router knows."""
-        return [len(watcher.choice.listing) for watcher in self._watchers()]
+        return [len(watcher.choice.engine_list) for watcher in self._watchers()]
 
     def lost_connections(self) -> int:
         """How many connections to the change log were given up."""
--- a/grebeproxy/net/router/engine_links.py
+++ b/grebeproxy/net/router/engine_links.py
@@ -48,7 +48,7 @@
                 outcome,
                 self.now - attempt.started_at,
                 settled=settled,
-                report=attempt.load_report,
+                load_report=attempt.load_report,
             )
         )
 
--- a/grebeproxy/settings/decode.py
+++ b/grebeproxy/settings/decode.py
@@ -94,7 +94,7 @@
         priorities=bool(family.get("takesPriority")),
         progress_period=seconds(family["progress"]) if family.get("progress") else None,
         reports_work=bool(family.get("bills")),
-        reports=_reports(stats),
+        load_report_fields=_load_report_fields(stats),
     )
 
 
@@ -181,7 +181,7 @@
     return api.AttemptBudget(
         window=seconds(obligations["countedOver"]),
         floor=obligations.get("extraFloor", 0.0),
-        share=obligations.get("extraPerRequest", 0.0),
+        fraction=obligations.get("extraPerRequest", 0.0),
     )
 
 
@@ -203,13 +203,13 @@
     return api.Prices(
         cross_zone=prices.get("crossZone", 0.0),
         waste=prices.get("waste", 0.0),
-        probe=prices.get("probe", 0.0),
+        health_check=prices.get("probe", 0.0),
         late_fail=prices.get("lateFail", 0.0),
         peer=prices.get("peer", 0.0),
     )
 
 
-def _reports(stats: StatFields) -> tuple[str, ...]:
+def _load_report_fields(stats: StatFields) -> tuple[str, ...]:
     """The columns of load reports, under the module's names; none where engines send no reports."""
     if stats.get("via") == NO_REPORTS:
         return ()
--- a/grebeproxy/simulator_adapter/decode.py
+++ b/grebeproxy/simulator_adapter/decode.py
@@ -87,7 +87,7 @@
         settled=bool(message.get("settled")),
         work=seconds(true_cost // MEMORY_UNITS_PER_MS) if true_cost else None,
         memory_mb=float(true_cost % MEMORY_UNITS_PER_MS * MB_PER_MEMORY_UNIT) if true_cost else None,
-        report=report_from(message.get("healthInfo")),
+        load_report=report_from(message.get("healthInfo")),
     )
 
 
@@ -121,7 +121,7 @@
         engine=message["node"],
         latency=seconds(message["latency"]),
         outcome=OUTCOMES[message["stateCode"]],
-        report=report_from(message.get("healthInfo")),
+        load_report=report_from(message.get("healthInfo")),
     )
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -85,7 +85,7 @@
     return replace(base, **changes)
 
 
-class Gateway:
+class RouterHarness:
     """Drives one ``Choice`` and keeps what it did."""
 
     def __init__(self, settings: Settings, engines: int = 2, **engine: Any) -> None:
@@ -123,8 +123,8 @@
         )
 
     def crowd(self) -> None:
-        """Makes every engine show pressure, as after a full refusal."""
-        for node in self.choice.nodes.values():
+        """Makes every engine show pressure, as after a FULL answer."""
+        for node in self.choice.engines.values():
             node.full_until = self.now + 1000.0
 
 
--- a/tests/streams.py
+++ b/tests/streams.py
@@ -32,9 +32,9 @@
     api.Outcome.CONNECT_FAILED,
 )
 
-BUDGET = api.AttemptBudget(window=5.0, floor=3.0, share=0.1)
+BUDGET = api.AttemptBudget(window=5.0, floor=3.0, fraction=0.1)
 
-# Settings, engines, queries a second: one gateway of few, of many, and each of the settings' switches.
+# Settings, engines, queries a second: one router of few, of many, and each of the settings' switches.
 STREAMS: dict[str, tuple[dict[str, Any], int, float]] = {
     "alone": ({}, 4, 40.0),
     "two": ({"balancers": 2, "index": 1}, 8, 60.0),
@@ -62,7 +62,7 @@
 
 
 class World:
-    """One gateway's surroundings: engines that serve, fail, come and go as a seed tells."""
+    """One router's surroundings: engines that serve, fail, come and go as a seed tells."""
 
     def __init__(self, name: str, seed: int) -> None:
         changes, self.engines, self.rate = STREAMS[name]
@@ -119,7 +119,7 @@
         assert not isinstance(event, str)
         if isinstance(event, api.AttemptEnded):
             if self.out.get(event.id, ("", -1, 0.0))[:2] != (event.engine, event.attempt):
-                return []  # called off meanwhile
+                return []  # cancelled meanwhile
             del self.out[event.id]
         return [event]
 
@@ -148,8 +148,8 @@
             case api.Send(id, engine, _):
                 number = self.attempts[id] = self.attempts.get(id, -1) + 1
                 self.out[id] = (engine, number, self.now)
-                job = self.choice.jobs[id]
-                took = job.run * self.draw.uniform(0.5, 1.5) * (1.0 + 0.2 * len(self.out) / self.engines)
+                job = self.choice.queries[id]
+                took = job.run_time * self.draw.uniform(0.5, 1.5) * (1.0 + 0.2 * len(self.out) / self.engines)
                 bad = self.draw.random() < (0.4 if engine == "e1" else 0.02)
                 outcome = self.draw.choice(FAULTS) if bad else api.Outcome.OK
                 took = 0.01 if outcome in (api.Outcome.ERROR, api.Outcome.FULL) else took
