--- a/grebeproxy/membership/lease/candidate.py
+++ b/grebeproxy/membership/lease/candidate.py
@@ -26,7 +26,7 @@
     requested_at: float = 0.0
     grants: set[str] = field(default_factory=set)  # voters that granted the latest request
     denials: set[str] = field(default_factory=set)
-    held_until: float = 0.0
+    expires_at: float = 0.0
     next_request_at: float = 0.0
     token: Token | None = None  # while the lease is held
 
@@ -48,7 +48,7 @@
     def token(self, lease: str, now: float) -> Token | None:
         """The token of a lease that is held at this moment."""
         claim = self._claims.get(lease)
-        return claim.token if claim is not None and now < claim.held_until else None
+        return claim.token if claim is not None and now < claim.expires_at else None
 
     def want(self, lease: str, wanted: bool) -> None:
         """Begin to claim a lease, or release it."""
@@ -91,7 +91,7 @@
         """End the leases whose time is over, and send the requests that are due."""
         now = self._context.now
         for lease, claim in self._claims.items():
-            if claim.token is not None and now >= claim.held_until:
+            if claim.token is not None and now >= claim.expires_at:
                 claim.token = None
                 self._context.effects.append(LeaseLost(lease))
             if now >= claim.next_request_at:
@@ -100,13 +100,13 @@
     def next_due(self) -> float | None:
         """When ``advance`` has something to do next."""
         times = [claim.next_request_at for claim in self._claims.values()]
-        times += [claim.held_until for claim in self._claims.values() if claim.token is not None]
+        times += [claim.expires_at for claim in self._claims.values() if claim.token is not None]
         return min(times, default=None)
 
     def _release(self, lease: str, claim: Claim) -> None:
         if claim.token is not None:
             claim.token = None
-            claim.held_until = 0.0
+            claim.expires_at = 0.0
             self._context.effects.append(LeaseLost(lease))
         for name in self._context.view.members:
             self._send(name, Vote(VoteKind.RELEASE, lease, claim.ballot))
@@ -152,8 +152,8 @@
         claim.grants.add(voter)
         if 2 * len(claim.grants) <= config.fleet:
             return
-        claim.held_until = max(claim.held_until, claim.requested_at + config.length * (1.0 - DRIFT))
-        if self._context.now >= claim.held_until:
+        claim.expires_at = max(claim.expires_at, claim.requested_at + config.length * (1.0 - DRIFT))
+        if self._context.now >= claim.expires_at:
             return  # the answers took longer than the votes last
         claim.next_request_at = max(self._context.now, claim.requested_at + config.length * RENEW)
         if claim.token is None:
--- a/grebeproxy/policy/engine_tracking.py
+++ b/grebeproxy/policy/engine_tracking.py
@@ -159,8 +159,8 @@
 
     def prune_engines(self) -> None:
         """Drop records that nothing needs any more: new engines keep coming under new names."""
-        kept = self.engines.items()
-        self.engines = {id: engine for id, engine in kept if engine.in_subset or engine.in_flight}
+        retained = self.engines.items()
+        self.engines = {id: engine for id, engine in retained if engine.in_subset or engine.in_flight}
 
     def _warming_up(self, engine: EngineRecord) -> bool:
         since = engine.warming_since
@@ -205,12 +205,12 @@
         self.granted = sum(engine.granted_memory for engine in busy)
         return busy
 
-    def decay(self, now: float, kept: float, long_threads: int) -> None:
+    def decay(self, now: float, retained: float, long_threads: int) -> None:
         """Let learned slowdowns fade to the part ``kept``, and average what is in flight."""
         fill = self.granted / self.memory if self.memory else 0.0
-        self.memory_fill += (1.0 - kept**0.25) * (fill - self.memory_fill)
-        self.mean_long_threads += (1.0 - kept) * (long_threads - self.mean_long_threads)
+        self.memory_fill += (1.0 - retained**0.25) * (fill - self.memory_fill)
+        self.mean_long_threads += (1.0 - retained) * (long_threads - self.mean_long_threads)
         self.refreshed_at = now
-        self.fleet_slowdown = 1.0 + (self.fleet_slowdown - 1.0) * kept
+        self.fleet_slowdown = 1.0 + (self.fleet_slowdown - 1.0) * retained
         for engine in self.healthy_engines:
-            engine.decay(now, self.fleet_slowdown, kept)
+            engine.decay(now, self.fleet_slowdown, retained)
--- a/grebeproxy/policy/estimators.py
+++ b/grebeproxy/policy/estimators.py
@@ -16,11 +16,11 @@
         self.estimated = 0.0
         self.spread = 0.0  # mean relative distance of an actual cost from its corrected estimate
 
-    def learn(self, actual: float, estimated: float, keep: float) -> None:
+    def learn(self, actual: float, estimated: float, retention: float) -> None:
         """Learn the actual cost of one query; ``keep`` is the weight of what was learned before."""
-        self.spread = keep * self.spread + (1 - keep) * abs(actual / self.correct(estimated) - 1.0)
-        self.actual = keep * self.actual + actual
-        self.estimated = keep * self.estimated + estimated
+        self.spread = retention * self.spread + (1 - retention) * abs(actual / self.correct(estimated) - 1.0)
+        self.actual = retention * self.actual + actual
+        self.estimated = retention * self.estimated + estimated
 
     def correct(self, estimate: float) -> float:
         """The corrected estimate; the estimate itself counts as one more query that cost as much."""
--- a/grebeproxy/policy/lifecycle.py
+++ b/grebeproxy/policy/lifecycle.py
@@ -73,8 +73,8 @@
         if query.engine is not None and self.settings.may_cancel and not query.cancelled:
             self.cancel(query)
         never_ran = query.first_ran_at is None and query.engine is None
-        keyed = cls.idempotency is Idempotency.IDEMPOTENCY_KEY and cls.scope is Scope.ALL
-        if never_ran or keyed or cls.idempotency is Idempotency.IDEMPOTENT:
+        has_idempotency_key = cls.idempotency is Idempotency.IDEMPOTENCY_KEY and cls.scope is Scope.ALL
+        if never_ran or has_idempotency_key or cls.idempotency is Idempotency.IDEMPOTENT:
             retry_after = None if longest is None else min(longest, self.backlog() + self.min_objective)
             self.actions.append(Reject(query.id, retry_after))
         else:
--- a/grebeproxy/policy/placement.py
+++ b/grebeproxy/policy/placement.py
@@ -125,8 +125,8 @@
         """How many engines the loads of all routers need, and the engines' places in an agreed order."""
         if data_set not in self.home_engines:
             rates = self.data_set_rates
-            asked = rates[data_set].rate(self.now) if data_set in rates else 0.0
-            fraction = asked / (self.query_rate.rate(self.now) or 1.0)
+            data_set_rate = rates[data_set].rate(self.now) if data_set in rates else 0.0
+            fraction = data_set_rate / (self.query_rate.rate(self.now) or 1.0)
             needed = fraction * self.load_run_rate.rate(self.now) * self.settings.balancers / HOME_FILL
             order = agreed_order((engine.entry.id for engine in self.healthy_engines), f"{data_set}/")
             places = {id: place for place, id in enumerate(order)}
@@ -142,8 +142,8 @@
         self.update_warming_weights(UNSEEN_WORK_FACTOR, HEAVY_QUERIES_PER_UNIT)
         # An engine's slowdown fades to the fleet's and the fleet's to none: without attempts nothing else
         # would end the rejections that it causes.
-        kept = exp((self.refreshed_at - self.now) / (SILENCE_FACTOR * self.min_objective))
-        self.decay(self.now, kept, sum(engine.long_threads for engine in self.sum_in_flight()))
+        retained = exp((self.refreshed_at - self.now) / (SILENCE_FACTOR * self.min_objective))
+        self.decay(self.now, retained, sum(engine.long_threads for engine in self.sum_in_flight()))
 
     def _choose_engine(self, query: QueryRecord, able: list[EngineRecord]) -> EngineRecord | None:
         """The engine of least cost; for a long query the first of the cheapest to answer a health check.
--- a/grebeproxy/policy/query_tracking.py
+++ b/grebeproxy/policy/query_tracking.py
@@ -119,14 +119,16 @@
         if cls.locks_data_set:
             self.load_run_rate.add(self.now, work / cls.threads)
 
-    def learn_costs(self, query: QueryRecord, ended: AttemptEnded, keep: float, max_ratio: float) -> None:
+    def learn_costs(
+        self, query: QueryRecord, ended: AttemptEnded, retention: float, max_ratio: float
+    ) -> None:
         """Correct future estimates by the reported work and memory, at most ``max_ratio`` times estimated."""
         for correction, actual, estimate in (
             (self.work_corrections[query.rank], ended.work, query.request.work),
             (self.memory_corrections[query.rank], ended.memory_mb, query.request.memory_mb),
         ):
             if actual and estimate:
-                correction.learn(min(actual, max_ratio * estimate), estimate, keep)
+                correction.learn(min(actual, max_ratio * estimate), estimate, retention)
 
     def update_warming_weights(self, unseen_factor: float, heavy_queries: float) -> None:
         """Set what a query of each class counts on warming engines, and the unit of their slots.
@@ -183,10 +185,10 @@
         if query is not None and event.kind is ProgressKind.FRACTION_DONE:
             query.record_progress(self.now, event.attempt, event.value)
 
-    def decay(self, now: float, kept: float, long_threads: int) -> None:
+    def decay(self, now: float, retained: float, long_threads: int) -> None:
         """Let learned slowdowns fade to the part ``kept``, those of classes too."""
-        self.class_slowdown = [1.0 + (slowdown - 1.0) * kept for slowdown in self.class_slowdown]
-        super().decay(now, kept, long_threads)
+        self.class_slowdown = [1.0 + (slowdown - 1.0) * retained for slowdown in self.class_slowdown]
+        super().decay(now, retained, long_threads)
 
     def prune_keys(self) -> None:
         """Drop keys that have settled: clients keep creating new ones."""
--- a/grebeproxy/policy/records.py
+++ b/grebeproxy/policy/records.py
@@ -183,10 +183,10 @@
         """True if a load locks the data set here: one of this router, or one assumed after a stall."""
         return self.locked_until.get(data_set, 0.0) > now or self.loads_in_flight(data_set) > 0
 
-    def decay(self, now: float, fleet_slowdown: float, kept: float) -> None:
+    def decay(self, now: float, fleet_slowdown: float, retained: float) -> None:
         """Let the slowdown fade towards the fleet's, and measure how late the attempts in flight are."""
-        self.slowdown = fleet_slowdown + (self.slowdown - fleet_slowdown) * kept
-        self.reported_fill *= kept
+        self.slowdown = fleet_slowdown + (self.slowdown - fleet_slowdown) * retained
+        self.reported_fill *= retained
         if not self.in_flight:
             self.pending_slowdown = 0.0
             return
--- a/grebeproxy/policy/rules.py
+++ b/grebeproxy/policy/rules.py
@@ -89,5 +89,5 @@
         """Clock time from which another attempt may do harm; None if there is no such time."""
         if query.first_ran_at is None or query.cls.idempotency is Idempotency.IDEMPOTENT:
             return None
-        keyed = query.cls.idempotency is Idempotency.IDEMPOTENCY_KEY
-        return query.first_ran_at + (query.cls.retry_window if keyed else 0.0)
+        has_idempotency_key = query.cls.idempotency is Idempotency.IDEMPOTENCY_KEY
+        return query.first_ran_at + (query.cls.retry_window if has_idempotency_key else 0.0)
