--- a/grebeproxy/policy/engine_tracking.py
+++ b/grebeproxy/policy/engine_tracking.py
@@ -206,7 +206,7 @@
         return busy
 
     def decay(self, now: float, retained: float, long_threads: int) -> None:
-        """Let learned slowdowns fade to the part ``kept``, and average what is in flight."""
+        """Let learned slowdowns fade to the part ``retained``, and average what is in flight."""
         fill = self.granted / self.memory if self.memory else 0.0
         self.memory_fill += (1.0 - retained**0.25) * (fill - self.memory_fill)
         self.mean_long_threads += (1.0 - retained) * (long_threads - self.mean_long_threads)
--- a/grebeproxy/policy/estimators.py
+++ b/grebeproxy/policy/estimators.py
@@ -17,7 +17,7 @@
         self.spread = 0.0  # mean relative distance of an actual cost from its corrected estimate
 
     def learn(self, actual: float, estimated: float, retention: float) -> None:
-        """Learn the actual cost of one query; ``keep`` is the weight of what was learned before."""
+        """Learn the actual cost of one query; ``retention`` is the weight of what was learned before."""
         self.spread = retention * self.spread + (1 - retention) * abs(actual / self.correct(estimated) - 1.0)
         self.actual = retention * self.actual + actual
         self.estimated = retention * self.estimated + estimated
--- a/grebeproxy/policy/query_tracking.py
+++ b/grebeproxy/policy/query_tracking.py
@@ -186,7 +186,7 @@
             query.record_progress(self.now, event.attempt, event.value)
 
     def decay(self, now: float, retained: float, long_threads: int) -> None:
-        """Let learned slowdowns fade to the part ``kept``, those of classes too."""
+        """Let learned slowdowns fade to the part ``retained``, those of classes too."""
         self.class_slowdown = [1.0 + (slowdown - 1.0) * retained for slowdown in self.class_slowdown]
         super().decay(now, retained, long_threads)
 
