--- a/grebeproxy/membership/__init__.py
+++ b/grebeproxy/membership/__init__.py
@@ -1,6 +1,6 @@
 """Which routers take part, which have failed, and which of them may act while their views differ.
 
-``Membership`` is a reducer without I/O: ``step(now, events)`` returns the effects to carry out.
+``Membership`` is a state machine without I/O: ``step(now, events)`` returns the effects to carry out.
 """
 
 from grebeproxy.membership.model import (
--- a/grebeproxy/membership/lease/leases.py
+++ b/grebeproxy/membership/lease/leases.py
@@ -1,4 +1,4 @@
-"""One router's part in all leases, as a reducer without I/O."""
+"""One router's part in all leases, as a state machine without I/O."""
 
 from __future__ import annotations
 
--- a/grebeproxy/membership/swim.py
+++ b/grebeproxy/membership/swim.py
@@ -1,4 +1,4 @@
-"""One router's part in membership, as a reducer: it reads no clock and no socket.
+"""One router's part in membership, as a state machine: it reads no clock and no socket.
 
 This is SWIM with Lifeguard's extensions. Each part has a module of its own: ``probing`` and ``relays`` detect
 failures, ``member_table`` merges facts, ``dissemination`` sends messages and gossip, ``anti_entropy``
--- a/grebeproxy/net/runtime.py
+++ b/grebeproxy/net/runtime.py
@@ -1,6 +1,6 @@
 """One router on an event loop: passes events to it and carries out the effects that it returns.
 
-Decisions are made by the reducer (``grebeproxy.net.router``) alone.
+Decisions are made by the state machine (``grebeproxy.net.router``) alone.
 """
 
 from __future__ import annotations
@@ -107,7 +107,7 @@
 
     async def serve(self) -> None:
         """Serve until asked to stop and all is answered. Raises ``OSError`` for an address in use."""
-        # Bound first, so that an address in use ends the start; the reducer decides when to listen.
+        # Bound first, so that an address in use ends the start; the state machine decides when to listen.
         self._listener = self._bind()
         async with self.dialer:
             with self._admin_endpoint():
@@ -129,7 +129,7 @@
         return contextlib.closing(listener)
 
     def _close_connections(self) -> None:
-        """Close those of clients and operators gracefully; the reducer's timeouts no longer apply to them."""
+        """Close those of clients and operators gracefully; the state machine's timeouts no longer apply to them."""
         for connection in (*self.clients.values(), *self.admins.values()):
             connection.close_gracefully()
         self.clients.clear()
@@ -185,7 +185,7 @@
             self.timers.call_soon(self._step)
 
     def _step(self) -> None:
-        """Give the reducer the events that were fed, and those that its effects cause in turn."""
+        """Give the state machine the events that were fed, and those that its effects cause in turn."""
         self._stepping = True
         try:
             while self._events:
--- a/grebeproxy/peers/node.py
+++ b/grebeproxy/peers/node.py
@@ -1,4 +1,4 @@
-"""Membership, duty leases and the replica store, put together behind one reducer.
+"""Membership, duty leases and the replica store, put together behind one state machine.
 
 I/O-free like its parts: ``step(now, events)`` gives effects. The node hands each payload to the part that it
 is for, and passes each new view of the members to the leases and the store. The runtime seals and opens
--- a/grebeproxy/replica/store.py
+++ b/grebeproxy/replica/store.py
@@ -1,4 +1,4 @@
-"""One router's copies of what all routers publish, as a reducer: ``step(now, events)`` gives effects.
+"""One router's copies of what all routers publish, as a state machine: ``step(now, events)`` gives effects.
 
 Every ``Limits.exchange_interval`` or so the store sends digests to one other member, which answers with what
 is newer there and requests what is newer here. Each origin refreshes its record regularly. A copy that was
--- a/tests/members.py
+++ b/tests/members.py
@@ -1,4 +1,4 @@
-"""Many membership reducers on one simulated clock, and a seeded network that loses, delays and duplicates."""
+"""Many membership state machines on one simulated clock, and a seeded network that loses, delays and duplicates."""
 
 from __future__ import annotations
 
