--- a/grebeproxy/net/runtime.py
+++ b/grebeproxy/net/runtime.py
@@ -129,7 +129,7 @@
         return contextlib.closing(listener)
 
     def _close_connections(self) -> None:
-        """Close those of clients and operators gracefully; the state machine's timeouts no longer apply to them."""
+        """Close those of clients and operators gracefully; the timeouts no longer apply to them."""
         for connection in (*self.clients.values(), *self.admins.values()):
             connection.close_gracefully()
         self.clients.clear()
--- a/tests/members.py
+++ b/tests/members.py
@@ -1,4 +1,4 @@
-"""Many membership state machines on one simulated clock, and a seeded network that loses, delays and duplicates."""
+"""Many memberships on one simulated clock, and a seeded network that loses, delays and duplicates."""
 
 from __future__ import annotations
 
