--- a/grebeproxy/peers/event_log.py
+++ b/grebeproxy/peers/event_log.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections import Counter
 from collections.abc import Callable
 
 import structlog
@@ -10,7 +11,11 @@
 
 
 class EventLog:
-    """Writes at most ``MAX_EVENTS_PER_SECOND``; the next event has the number of those suppressed."""
+    """Writes at most ``MAX_EVENTS_PER_SECOND`` of each event; the next line has the number suppressed.
+
+    Counted by event, so that one that repeats, such as a lease that two routers take from each other, does
+    not suppress a rare one, such as a change of the view.
+    """
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._log = structlog.wrap_logger(
@@ -18,17 +23,17 @@
         )
         self._now = now
         self._second = 0
-        self._count = 0  # of events in this second, suppressed ones among them
+        self._counts: Counter[str] = Counter()  # by event, in this second, suppressed ones among them
         self._suppressed = 0
 
     def write(self, event: str, /, **fields: object) -> None:
-        """Write an event, unless there were too many in this second."""
+        """Write an event, unless there were too many of its name in this second."""
         second = int(self._now())
         if second != self._second:
             self._second = second
-            self._count = 0
-        self._count += 1
-        if self._count > MAX_EVENTS_PER_SECOND:
+            self._counts.clear()
+        self._counts[event] += 1
+        if self._counts[event] > MAX_EVENTS_PER_SECOND:
             self._suppressed += 1
             return
         if self._suppressed:
--- a/tests/test_peers_duties.py
+++ b/tests/test_peers_duties.py
@@ -132,3 +132,13 @@
         {"event": "peers.member.joined", "name": "n1", "suppressed": 7},
         {"event": "peers.member.left", "name": "n1"},
     ]
+
+
+def test_an_event_that_repeats_does_not_suppress_another(capsys: pytest.CaptureFixture[str]) -> None:
+    log = EventLog(lambda: 5.0)
+    for number in range(MAX_EVENTS_PER_SECOND + 7):
+        log.write("peers.lease.acquired", ballot=number)
+    log.write("peers.view.changed", members="n0 n1")
+    events = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
+    assert len(events) == MAX_EVENTS_PER_SECOND + 1
+    assert events[-1] == {"event": "peers.view.changed", "members": "n0 n1", "suppressed": 7}
