--- a/grebeproxy/lab/control/replica.py
+++ b/grebeproxy/lab/control/replica.py
@@ -51,7 +51,7 @@
 
 def _stored_fraction(fleet: Fleet) -> float:
     """The fraction of all copies of keys that routers store; 1 where each stores the keys of all."""
-    stored = sum(len(process.node.store.all(KEY_NAME)) for process in fleet.processes.values())
+    stored = sum(len(process.node.store.values_by_origin(KEY_NAME)) for process in fleet.processes.values())
     return stored / len(fleet.processes) / fleet.size
 
 
@@ -78,7 +78,7 @@
     process = fleet.processes[router]
 
     def copies() -> int:
-        return len(process.node.store.all(KEY_NAME))
+        return len(process.node.store.values_by_origin(KEY_NAME))
 
     values: dict[str, float] = {}
     try:
--- a/grebeproxy/replica/store.py
+++ b/grebeproxy/replica/store.py
@@ -57,7 +57,7 @@
         record = self.records.get(origin)
         return record.entries.get(key, NO_ENTRY).value if record is not None else None
 
-    def all(self, key: str) -> dict[str, bytes]:
+    def values_by_origin(self, key: str) -> dict[str, bytes]:
         """What each origin publishes under a key, in the order of names."""
         published = ((origin, self.get(origin, key)) for origin in sorted(self.records))
         return {origin: value for origin, value in published if value is not None}
--- a/tests/test_lab_control.py
+++ b/tests/test_lab_control.py
@@ -193,7 +193,7 @@
 def test_published_keys_are_the_same_at_all_routers_from_the_start() -> None:
     fleet = Fleet(SMALL, seed=1, limits=Limits(), key_bytes=16)
     fleet.start_converged()
-    keys = [process.node.store.all(KEY_NAME) for process in fleet.processes.values()]
+    keys = [process.node.store.values_by_origin(KEY_NAME) for process in fleet.processes.values()]
     assert len(keys[0]) == SMALL and all(stored == keys[0] for stored in keys)
 
 
