--- a/grebeproxy/net/changelog.py
+++ b/grebeproxy/net/changelog.py
@@ -41,9 +41,9 @@
     def __init__(self, settings: Settings, clock: Clock) -> None:
         self._clock = clock
         self._buffer = bytearray()
-        self.retune(settings)
+        self.apply_settings(settings)
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Use these settings' lists of zones and kinds from the next event on."""
         self._zones = settings.zones
         self._kinds = settings.kinds
--- a/grebeproxy/net/connections/change_log.py
+++ b/grebeproxy/net/connections/change_log.py
@@ -40,4 +40,4 @@
 
     def retune(self, settings: Settings) -> None:
         """Decode by these settings from the next event on."""
-        self.decoder.retune(settings)
+        self.decoder.apply_settings(settings)
--- a/grebeproxy/net/connections/client.py
+++ b/grebeproxy/net/connections/client.py
@@ -79,7 +79,7 @@
 
     def retune(self, settings: Settings) -> None:
         """Decode by these settings from the next message on."""
-        self.decoder.retune(settings)
+        self.decoder.apply_settings(settings)
 
     def write(self, data: bytes) -> None:
         """Send an answer; a client that reads none of its answers loses its connection.
--- a/grebeproxy/net/msgpack_rpc.py
+++ b/grebeproxy/net/msgpack_rpc.py
@@ -49,11 +49,11 @@
     def __init__(self, settings: Settings) -> None:
         self._idempotency: dict[str, Idempotency] = {}  # by the classes that can be decoded
         self._current: dict[str, Idempotency] = {}  # by the classes of the settings in force
-        self.retune(settings)
+        self.apply_settings(settings)
         self._buffer = bytearray()
         self._framer = MessageFramer()
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Use these settings from the next message on.
 
         Classes of the settings before can still be decoded, as clients may not know of the change yet: the
