--- a/grebeproxy/lab/scale/watcher.py
+++ b/grebeproxy/lab/scale/watcher.py
@@ -102,7 +102,7 @@
 
     def _silence_ends_at(self) -> float:
         """When the connection is given up unless something arrives, on the router's clock."""
-        return self._follower.due(self.settings.rules.drain_grace)
+        return self._follower.silence_deadline(self.settings.rules.drain_grace)
 
     def _schedule(self, router_time: float, call: Callable[[int], None]) -> None:
         """Call with the number of the current dial, so that the call can tell if it is outdated."""
@@ -144,7 +144,7 @@
         try:
             with self._meter:
                 for update in connection.decoder.feed(data):
-                    is_new = self._follower.read(update, self.clock.now())
+                    is_new = self._follower.receive(update, self.clock.now())
                     if is_new and update.change is not None:
                         self._apply(update.seq, update.change, update.addresses or {})
         except (BadFrameError, ValueError):
@@ -160,5 +160,5 @@
         if connection is not self._connection or self._closed or not self._follower.open:
             return
         self.lost_connections += 1
-        retry_at = self.clock.now() + self._follower.lose()
+        retry_at = self.clock.now() + self._follower.give_up()
         self._schedule(retry_at, self._dial)
--- a/grebeproxy/net/follower.py
+++ b/grebeproxy/net/follower.py
@@ -59,14 +59,14 @@
         self.connected = True
         self.last_received_at = now
 
-    def lose(self) -> float:
+    def give_up(self) -> float:
         """Give up the connection. Returns the seconds until the next dial, doubled with each failure."""
         self.open = False
         delay = self.backoff
         self.backoff = min(MAX_BACKOFF, 2 * self.backoff)
         return delay
 
-    def due(self, drain_grace: float) -> float:
+    def silence_deadline(self, drain_grace: float) -> float:
         """When the connection is given up unless something is received on it.
 
         Covers a log that stops sending while its connection stays open, and a connection that never comes up.
@@ -92,7 +92,7 @@
         self._reset_delays()
         return True
 
-    def read(self, update: ChangeLogUpdate, now: float) -> bool:
+    def receive(self, update: ChangeLogUpdate, now: float) -> bool:
         """Record an event. Returns whether it is to be applied: keep-alives and duplicates are not.
 
         Raises ``ChangeLogGapError`` when events before it are missing.
--- a/grebeproxy/net/router/discovery.py
+++ b/grebeproxy/net/router/discovery.py
@@ -47,7 +47,7 @@
         self._timers.add(self._change_log_due(), self._check_change_log, self._change_log.dials)
 
     def _change_log_due(self) -> float:
-        return self._change_log.due(self.settings.rules.drain_grace)
+        return self._change_log.silence_deadline(self.settings.rules.drain_grace)
 
     def _check_change_log(self, dials: int) -> None:
         """Dial again if the connection has been silent, or has not come up, for too long."""
@@ -65,7 +65,7 @@
         """Dial again after the backoff."""
         if self._change_log.open:
             self._log_change_log_lost(reason)
-            delay = self._change_log.lose()
+            delay = self._change_log.give_up()
             self._timers.add(self.now + delay, self._dial_change_log, self._change_log.dials)
 
     def _log_change_log_lost(self, reason: str) -> None:
@@ -86,7 +86,7 @@
             return
         self._start_listening()
         try:
-            if self._change_log.read(update, self.now):
+            if self._change_log.receive(update, self.now):
                 self._apply(update)
         except ChangeLogGapError as error:
             self._lose_change_log(str(error))
