--- a/grebeproxy/net/resp.py
+++ b/grebeproxy/net/resp.py
@@ -19,7 +19,7 @@
     Stop,
     ToEngine,
 )
-from grebeproxy.settings import report_from
+from grebeproxy.settings import load_report_from
 from grebeproxy.units import MS_PER_SECOND
 
 CRLF = b"\r\n"
@@ -173,4 +173,4 @@
         number = float(value)
         if math.isfinite(number):
             gauges[name] = number
-    return report_from(gauges)
+    return load_report_from(gauges)
--- a/grebeproxy/settings/__init__.py
+++ b/grebeproxy/settings/__init__.py
@@ -5,7 +5,7 @@
 """
 
 from grebeproxy.settings.decode import SettingsError, settings_from
-from grebeproxy.settings.load_report import report_from
+from grebeproxy.settings.load_report import load_report_from
 from grebeproxy.settings.wire_limits import WireLimits, wire_limits_from
 
-__all__ = ["SettingsError", "WireLimits", "report_from", "settings_from", "wire_limits_from"]
+__all__ = ["SettingsError", "WireLimits", "load_report_from", "settings_from", "wire_limits_from"]
--- a/grebeproxy/settings/load_report.py
+++ b/grebeproxy/settings/load_report.py
@@ -26,7 +26,7 @@
 COLUMNS_IN_MS = {"svc_ms", "latency_ms"}
 
 
-def report_from(columns: Mapping[str, float] | None) -> dict[str, float] | None:
+def load_report_from(columns: Mapping[str, float] | None) -> dict[str, float] | None:
     """A load report under the module's names, times in seconds; unknown columns are left out."""
     if not columns:
         return None
--- a/grebeproxy/simulator_adapter/decode.py
+++ b/grebeproxy/simulator_adapter/decode.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 
 from grebeproxy.policy import interface as api
-from grebeproxy.settings import report_from
+from grebeproxy.settings import load_report_from
 from grebeproxy.simulator_adapter.wire import Message
 from grebeproxy.units import seconds
 
@@ -87,7 +87,7 @@
         settled=bool(message.get("settled")),
         work=seconds(true_cost // MEMORY_UNITS_PER_MS) if true_cost else None,
         memory_mb=float(true_cost % MEMORY_UNITS_PER_MS * MB_PER_MEMORY_UNIT) if true_cost else None,
-        load_report=report_from(message.get("healthInfo")),
+        load_report=load_report_from(message.get("healthInfo")),
     )
 
 
@@ -121,7 +121,7 @@
         engine=message["node"],
         latency=seconds(message["latency"]),
         outcome=OUTCOMES[message["stateCode"]],
-        load_report=report_from(message.get("healthInfo")),
+        load_report=load_report_from(message.get("healthInfo")),
     )
 
 
