--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 
 import pytest
 from hypothesis import settings as hypothesis_settings
-from known_red import KnownRed
+from known_red import KnownFailures
 
 from grebeproxy import Choice, Settings
 from grebeproxy.policy.interface import (
@@ -35,7 +35,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    config.pluginmanager.register(KnownRed())
+    config.pluginmanager.register(KnownFailures())
 
 
 SHORT = QueryClass("short", latency_objective=1.0, deadline=4.0, objective_stretch=1.5)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Red:
+class KnownFailure:
     """A fault that is known."""
 
     test: str  # its node id, of all its parameters where none is named; or a case that is played by hand
@@ -53,40 +53,42 @@
         return f"known red: {self.test}: {self.seen} ({self.issue}; {self.command})"
 
 
-def read(path: Path) -> list[Red]:
+def read(path: Path) -> list[KnownFailure]:
     """What the file lists. Raises ``ValueError`` naming the line that cannot be used."""
     if not path.exists():
         return []
     lines = [line for line in path.read_text().splitlines() if line.strip()]
     if not lines:
         raise ValueError(f"{path.name}: lists nothing, and should not be there")
-    reds = []
+    failures = []
     for number, line in enumerate(lines, 1):
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != len(FIELDS) or not all(parts):
             raise ValueError(f"{path.name}: line {number}: must be {' | '.join(FIELDS)}")
-        red = Red(*parts)
-        if not red.by_hand and "::" not in red.test:
-            raise ValueError(f"{path.name}: line {number}: neither a test, soak N nor bench: {red.test}")
-        reds.append(red)
-    return reds
+        failure = KnownFailure(*parts)
+        if not failure.by_hand and "::" not in failure.test:
+            raise ValueError(f"{path.name}: line {number}: neither a test, soak N nor bench: {failure.test}")
+        failures.append(failure)
+    return failures
 
 
-def missing(reds: Sequence[Red], nodes: Sequence[str], *, whole: bool) -> list[str]:
+def missing(failures: Sequence[KnownFailure], nodes: Sequence[str], *, whole: bool) -> list[str]:
     """Tests that are listed and not there; where not the whole suite is run, only in files that are."""
     files = {node.split("::")[0] for node in nodes}
     return [
-        red.test
-        for red in reds
-        if not red.by_hand and (whole or red.test.split("::")[0] in files) and not any(map(red.names, nodes))
+        failure.test
+        for failure in failures
+        if not failure.by_hand
+        and (whole or failure.test.split("::")[0] in files)
+        and not any(map(failure.names, nodes))
     ]
 
 
-class KnownRed:
+class KnownFailures:
     """The plugin."""
 
     def __init__(self, path: Path = FILE) -> None:
-        self.reds: list[Red] = []
+        self.failures: list[KnownFailure] = []
         self.path = path
         self.expected: set[str] = set()  # node ids of listed tests that this run selected
         self.ran: set[str] = set()
@@ -96,17 +98,21 @@
     def pytest_collection_modifyitems(self, config: pytest.Config, items: list[pytest.Item]) -> object:
         """Mark them; fail where one is not there."""
         try:
-            self.reds = read(self.path)
+            self.failures = read(self.path)
         except ValueError as error:
             raise pytest.UsageError(str(error)) from None
         whole = not any(Path(arg.split("::")[0]).suffix == ".py" for arg in config.args)
-        if gone := missing(self.reds, [item.nodeid for item in items], whole=whole):
+        if gone := missing(self.failures, [item.nodeid for item in items], whole=whole):
             raise pytest.UsageError(f"{self.path.name}: no such test: {', '.join(gone)}")
         for item in items:
-            for red in filter(lambda red: red.names(item.nodeid), self.reds):
-                item.add_marker(pytest.mark.xfail(reason=f"{red.seen} ({red.issue})", strict=red.always))
+            for failure in filter(lambda failure: failure.names(item.nodeid), self.failures):
+                item.add_marker(
+                    pytest.mark.xfail(reason=f"{failure.seen} ({failure.issue})", strict=failure.always)
+                )
         result = yield  # -k and -m deselect
-        self.expected = {item.nodeid for item in items if any(red.names(item.nodeid) for red in self.reds)}
+        self.expected = {
+            item.nodeid for item in items if any(failure.names(item.nodeid) for failure in self.failures)
+        }
         return result
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
@@ -132,8 +138,8 @@
         """Print them."""
         if config.option.collectonly:
             return
-        for red in self.reds:
-            terminalreporter.write_line(red.line())
+        for failure in self.failures:
+            terminalreporter.write_line(failure.line())
         for node in self.passed:
             terminalreporter.write_line(f"known red, passed this time: {node}")
         for node in self.not_run():
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -38,7 +38,7 @@
     (tests / "known_red.py").write_text((Path(__file__).parent / "known_red.py").read_text())
     (tests / "conftest.py").write_text(
         "import known_red\n"
-        "def pytest_configure(config): config.pluginmanager.register(known_red.KnownRed())\n"
+        "def pytest_configure(config): config.pluginmanager.register(known_red.KnownFailures())\n"
     )
     if listed is not None:
         (folder / "KNOWN-RED.txt").write_text(listed)
