--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -19,7 +19,7 @@
 from members import Network
 
 from grebeproxy.membership import Effect, Membership, Send
-from grebeproxy.membership.wire import Sealed, packed
+from grebeproxy.membership.wire import PacketCodec, pack_message
 
 DEFAULT_SIZES = [3, 50, 200]
 QUIET_SECONDS = 20.0
@@ -36,10 +36,10 @@
     def carry_out(self, place: int, core: Membership, effects: Iterable[Effect]) -> None:
         """Seal each packet as well, to count its bytes."""
         effects = list(effects)
-        sealed = Sealed(b"k" * 16, core.me.instance, 1)
+        sealed = PacketCodec(b"k" * 16, core.me.instance, 1)
         for effect in effects:
             if isinstance(effect, Send):
-                self.sent_bytes += len(sealed.seal([1, packed(effect.message)]))
+                self.sent_bytes += len(sealed.seal([1, pack_message(effect.message)]))
         super().carry_out(place, core, effects)
 
 
--- a/grebeproxy/lab/control/fleet.py
+++ b/grebeproxy/lab/control/fleet.py
@@ -20,7 +20,7 @@
 from grebeproxy.lab.control.usage import TRAFFIC_OF_PAYLOAD, Account, Traffic, Usage
 from grebeproxy.membership import Config
 from grebeproxy.membership.model import Address
-from grebeproxy.membership.wire import Sealed, WireError
+from grebeproxy.membership.wire import PacketCodec, WireError
 from grebeproxy.peers import node
 from grebeproxy.peers.operator_file import Duty, PeersConfig
 from grebeproxy.replica import Limits
@@ -103,7 +103,7 @@
         instance = self._rng.getrandbits(INSTANCE_BITS)
         config = self.config(router)
         core = node.Node(config, instance, Random(instance), self.now, self.limits)
-        process = Process(router, core, Sealed(KEY, instance, config.settings_digest), Account())
+        process = Process(router, core, PacketCodec(KEY, instance, config.settings_digest), Account())
         self.processes[router] = process
         return process
 
--- a/grebeproxy/lab/control/lease.py
+++ b/grebeproxy/lab/control/lease.py
@@ -7,7 +7,7 @@
 from grebeproxy.lab.control.fleet import DUTY, LEASE_SECONDS, Fleet
 from grebeproxy.lab.control.usage import Traffic, Usage
 from grebeproxy.lab.record import Point
-from grebeproxy.membership.lease import RENEW
+from grebeproxy.membership.lease import RENEW_FRACTION
 
 SIZES = (60, 120, 240, 600)
 MAX_TAKEOVER_SIZE = 240  # above it only renewals are measured: contention costs the square of the size
@@ -49,7 +49,7 @@
     others = [router for router in range(fleet.size) if router != holder]
     before = fleet.usage([holder], KINDS)
     before_others = fleet.usage(others, KINDS)
-    seconds = RENEWALS * RENEW * LEASE_SECONDS
+    seconds = RENEWALS * RENEW_FRACTION * LEASE_SECONDS
     fleet.run(seconds)
     used = fleet.usage([holder], KINDS) - before
     used_others = fleet.usage(others, KINDS) - before_others
--- a/grebeproxy/lab/control/memory.py
+++ b/grebeproxy/lab/control/memory.py
@@ -10,7 +10,7 @@
 from grebeproxy.lab.control.fleet import INSTANCE_BITS, KEY, START_TIME, Fleet
 from grebeproxy.membership import Message, wire
 from grebeproxy.membership.model import Fact, Kind, State
-from grebeproxy.membership.wire import Sealed
+from grebeproxy.membership.wire import PacketCodec
 from grebeproxy.peers import node
 from grebeproxy.replica import Limits
 
@@ -37,9 +37,11 @@
     try:
         before, _ = tracemalloc.get_traced_memory()
         core = node.Node(config, rng.getrandbits(INSTANCE_BITS), Random(seed), START_TIME, Limits())
-        sealed = Sealed(KEY, core.instance, config.settings_digest)
+        sealed = PacketCodec(KEY, core.instance, config.settings_digest)
         payloads = [sealed.open(packet) for packet in packets]
-        senders = [wire.unpacked(payload[1]).sender for payload in payloads if payload[0] == node.MEMBER]
+        senders = [
+            wire.unpack_message(payload[1]).sender for payload in payloads if payload[0] == node.MEMBER
+        ]
         set_known_members(core, senders, START_TIME)
         core.step(START_TIME, [])
         for payload in payloads:
@@ -57,10 +59,10 @@
 def _packets(member: int, rng: Random, fleet: Fleet, key_bytes: int) -> list[bytes]:
     """The packets one member sends: a ping, and a change of its key if it has one."""
     instance = rng.getrandbits(INSTANCE_BITS)
-    sealed = Sealed(KEY, instance, fleet.config(member).settings_digest)
+    sealed = PacketCodec(KEY, instance, fleet.config(member).settings_digest)
     fact = Fact(name(member), address(member), instance, 0, State.ALIVE)
     ping = Message(Kind.PING, fact, number=1, target=name(0))
-    packets = [sealed.seal([node.MEMBER, wire.packed(ping)])]
+    packets = [sealed.seal([node.MEMBER, wire.pack_message(ping)])]
     if key_bytes:
         entry = [KEY_NAME, 1, rng.randbytes(key_bytes)]
         delta = [
--- a/grebeproxy/lab/control/model.py
+++ b/grebeproxy/lab/control/model.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from grebeproxy.lab.control.usage import Account
-from grebeproxy.membership.wire import Sealed
+from grebeproxy.membership.wire import PacketCodec
 from grebeproxy.peers import node
 
 NEVER = float("inf")
@@ -39,7 +39,7 @@
 
     router: int
     node: node.Node
-    sealed: Sealed
+    sealed: PacketCodec
     account: Account
     wake_at: float = NEVER
 
--- a/grebeproxy/lab/scale/member.py
+++ b/grebeproxy/lab/scale/member.py
@@ -13,7 +13,7 @@
 from grebeproxy.lab.scale.clock import SkewedClock
 from grebeproxy.lab.scale.meter import Meter
 from grebeproxy.membership.lease import Token
-from grebeproxy.membership.wire import Sealed, WireError
+from grebeproxy.membership.wire import PacketCodec, WireError
 from grebeproxy.peers import Node, PeersConfig, node
 from grebeproxy.peers.duty_tasks import DutyTasks
 
@@ -40,7 +40,7 @@
         self.changes: dict[str, MemberChange] = {}  # by member
         self._clock = clock
         self._meter = meter
-        self._sealed = Sealed(config.key, instance, config.settings_digest)
+        self._sealed = PacketCodec(config.key, instance, config.settings_digest)
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._wake_at = 0.0  # on the router's clock
--- a/grebeproxy/membership/lease/__init__.py
+++ b/grebeproxy/membership/lease/__init__.py
@@ -2,13 +2,13 @@
 
 A candidate requests the votes of all members under a ballot. A voter that grants its vote promises to
 vote for nobody else until the lease's length has passed on the voter's own clock. The holder counts the
-same length from before it sent its requests, less ``DRIFT``: its lease therefore ends before any of its
-voters is free again, however long the messages took. The ballot and the holder's name are the fencing
+same length from before it sent its requests, less ``MAX_CLOCK_DRIFT``: its lease therefore ends before any
+of its voters is free again, however long the messages took. The ballot and the holder's name are the fencing
 token. Any two majorities share a voter, and a voter grants no ballot below one that it has promised, so
 tokens grow from holder to holder. A holder whose renewals are denied for a higher ballot renews above it, so
 its token may grow while it holds the lease.
 
-Assumptions: the clocks of two routers differ in rate by less than ``DRIFT``; each name runs as one
+Assumptions: the clocks of two routers differ in rate by less than ``MAX_CLOCK_DRIFT``; each name runs as one
 process, or duplicate processes of a name hear of each other before either votes. Nothing is stored across
 a restart: a voter that starts, or that learns of a duplicate of itself, does not vote until every promise
 that an earlier or other process of its name may have given has expired.
@@ -17,8 +17,8 @@
 where the work that a lease protects takes effect.
 """
 
-from grebeproxy.membership.lease.candidate import RENEW, RETRY, Claim
-from grebeproxy.membership.lease.config import DRIFT, MAX_BALLOT, MAX_LEASES, LeaseConfig
+from grebeproxy.membership.lease.candidate import RENEW_FRACTION, RETRY_FRACTION, Claim
+from grebeproxy.membership.lease.config import MAX_BALLOT, MAX_CLOCK_DRIFT, MAX_LEASES, LeaseConfig
 from grebeproxy.membership.lease.fence import Fence
 from grebeproxy.membership.lease.leases import Leases
 from grebeproxy.membership.lease.messages import (
@@ -39,11 +39,11 @@
 from grebeproxy.membership.lease.voter import Promise
 
 __all__ = [
-    "DRIFT",
     "MAX_BALLOT",
+    "MAX_CLOCK_DRIFT",
     "MAX_LEASES",
-    "RENEW",
-    "RETRY",
+    "RENEW_FRACTION",
+    "RETRY_FRACTION",
     "Claim",
     "Effect",
     "Event",
--- a/grebeproxy/membership/lease/candidate.py
+++ b/grebeproxy/membership/lease/candidate.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from grebeproxy.membership.lease.config import DRIFT, MAX_BALLOT, MAX_LEASES, LeaseContext
+from grebeproxy.membership.lease.config import MAX_BALLOT, MAX_CLOCK_DRIFT, MAX_LEASES, LeaseContext
 from grebeproxy.membership.lease.messages import LeaseAcquired, LeaseLost, Token, Vote, VoteKind
 from grebeproxy.membership.lease.voter import Voter
 
-RENEW = 0.3  # fraction of a lease's length after which its holder requests the votes again
-RETRY = 0.1  # fraction of a lease's length after which votes are requested again without a majority
-# Retries are spread over this many times ``RETRY``: so candidates that split the votes do not meet again.
+RENEW_FRACTION = 0.3  # fraction of a lease's length after which its holder requests the votes again
+RETRY_FRACTION = 0.1  # fraction of a lease's length after which votes are requested again without a majority
+# Retries are spread over so many times ``RETRY_FRACTION``: candidates that split the votes do not meet again.
 RETRY_SPREAD = 1.0
 SPLIT_VOTE_SPREAD = 4.0
 # A second rejected token is followed by a claim after a lease's length, further ones after twice the time.
@@ -160,7 +160,7 @@
             claim.ballot += 1
             return True
         if context.now < promise.until and promise.holder != context.config.name:
-            jitter = context.config.length * RETRY * context.rng.random()
+            jitter = context.config.length * RETRY_FRACTION * context.rng.random()
             claim.next_request_at = promise.until + jitter
             return False
         claim.ballot = max(claim.ballot, promise.ballot) + 1
@@ -182,10 +182,10 @@
         claim.grants.add(voter)
         if 2 * len(claim.grants) <= config.fleet:
             return
-        claim.expires_at = max(claim.expires_at, claim.requested_at + config.length * (1.0 - DRIFT))
+        claim.expires_at = max(claim.expires_at, claim.requested_at + config.length * (1.0 - MAX_CLOCK_DRIFT))
         if self._context.now >= claim.expires_at:
             return  # the answers took longer than the votes last
-        claim.next_request_at = max(self._context.now, claim.requested_at + config.length * RENEW)
+        claim.next_request_at = max(self._context.now, claim.requested_at + config.length * RENEW_FRACTION)
         if claim.token is None:
             self._context.effects.append(LeaseAcquired(lease, Token(claim.ballot, config.name)))
             claim.denied_ballot = 0
@@ -201,8 +201,8 @@
             doubled = 2 * claim.rejection_backoff or REJECTION_BACKOFF
             claim.rejection_backoff = min(MAX_REJECTION_BACKOFF, doubled)
         claim.rejected_at = context.now
-        return claim.rejection_backoff * length * (1.0 + RETRY * context.rng.random())
+        return claim.rejection_backoff * length * (1.0 + RETRY_FRACTION * context.rng.random())
 
     def _retry_at(self, spread: float) -> float:
         context = self._context
-        return context.now + context.config.length * RETRY * (1.0 + spread * context.rng.random())
+        return context.now + context.config.length * RETRY_FRACTION * (1.0 + spread * context.rng.random())
--- a/grebeproxy/membership/lease/config.py
+++ b/grebeproxy/membership/lease/config.py
@@ -8,7 +8,7 @@
 from grebeproxy.membership.lease.messages import Effect
 from grebeproxy.membership.model import MAX_SECONDS, InvalidSettingError, View
 
-DRIFT = 0.02  # greatest difference in rate between two clocks, as a fraction
+MAX_CLOCK_DRIFT = 0.02  # greatest difference in rate between two clocks, as a fraction
 MAX_LEASES = 64  # leases for which a router votes, and leases that it may want, at most
 MAX_BALLOT = 2**53
 
--- a/grebeproxy/membership/lease/voter.py
+++ b/grebeproxy/membership/lease/voter.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, replace
 
-from grebeproxy.membership.lease.config import DRIFT, MAX_BALLOT, MAX_LEASES, LeaseContext
+from grebeproxy.membership.lease.config import MAX_BALLOT, MAX_CLOCK_DRIFT, MAX_LEASES, LeaseContext
 from grebeproxy.membership.lease.messages import Vote, VoteKind, VoteReceived
 
 # Lease lengths for which a promise's ballot is remembered after the promise has expired.
@@ -36,7 +36,7 @@
 
     def suspend(self) -> None:
         """Grant no vote until all promises of other processes of this name have expired."""
-        self.votes_from = self._context.now + self._context.config.length * (1.0 + DRIFT)
+        self.votes_from = self._context.now + self._context.config.length * (1.0 + MAX_CLOCK_DRIFT)
 
     def answer(self, event: VoteReceived) -> Vote:
         """Grant a request, or deny it with the ballot that has to be exceeded."""
--- a/grebeproxy/membership/member_table.py
+++ b/grebeproxy/membership/member_table.py
@@ -13,7 +13,7 @@
 from grebeproxy.membership.suspicion import Suspicion, shortest_suspicion
 
 # Periods for which a failed member is remembered: older facts may still be on their way.
-REMEMBER_FAILED = 120.0
+FAILED_RETENTION = 120.0
 MAX_MEMBERS_FACTOR = 4  # names known at most, in sizes of the configured fleet with one more router
 # A duplicate process of this name that keeps claiming it is tolerated this often within so many periods.
 MAX_NAME_CONFLICTS = 3
@@ -125,7 +125,7 @@
 
     def _on_ended(self, fact: Fact, current: Fact | None) -> None:
         context = self._context
-        self._remembered_until[fact.name] = context.now + REMEMBER_FAILED * context.config.period
+        self._remembered_until[fact.name] = context.now + FAILED_RETENTION * context.config.period
         if current is None or current.state < State.DEAD:
             self._notify(NoticeKind.LEFT if fact.state is State.LEFT else NoticeKind.FAILED, fact.name)
 
--- a/grebeproxy/membership/wire.py
+++ b/grebeproxy/membership/wire.py
@@ -23,9 +23,9 @@
 VERSION = 2
 OLDEST_VERSION = 1
 VERSION_WITHOUT_SETTINGS = 1
-MAX_BYTES = 1200  # of a packet, so that no network fragments it
-DIGEST = 16  # bytes of the keyed digest
-HEADER_BYTES = 1 + DIGEST
+MAX_PACKET_BYTES = 1200  # of a packet, so that no network fragments it
+DIGEST_BYTES = 16  # bytes of the keyed digest
+HEADER_BYTES = 1 + DIGEST_BYTES
 MAX_NUMBER = 2**64 - 1
 MAX_PORT = 65535
 MAX_HOST_CHARACTERS = 64
@@ -34,7 +34,7 @@
 SETTINGS_FIELD = 2  # place of the settings digest in the body
 MESSAGE_FIELDS = 6
 FACT_FIELDS = 7
-WINDOW = 1024  # packets by which one may be late
+REPLAY_WINDOW = 1024  # packets by which one may be late
 MAX_SENDERS = 4096  # processes whose packet numbers are remembered: those heard of most recently
 
 
@@ -54,10 +54,10 @@
 
 
 class PacketTooLongError(WireError):
-    """A packet to send would be longer than ``MAX_BYTES``."""
+    """A packet to send would be longer than ``MAX_PACKET_BYTES``."""
 
     def __init__(self, length: int) -> None:
-        super().__init__(f"a packet of {length} bytes is longer than {MAX_BYTES}")
+        super().__init__(f"a packet of {length} bytes is longer than {MAX_PACKET_BYTES}")
 
 
 class PacketRejectedError(WireError):
@@ -77,7 +77,7 @@
     payload: Any  # plain values, read by the codec of its kind
 
 
-class Sealed:
+class PacketCodec:
     """Seals and opens the packets of one process.
 
     ``key`` is shared by all routers of a fleet, and ``settings_digest`` is the same at all of them.
@@ -88,14 +88,14 @@
         self._instance = instance
         self._settings_digest = settings_digest
         self._number = 0
-        self._windows: OrderedDict[int, Window] = OrderedDict()
+        self._windows: OrderedDict[int, ReplayWindow] = OrderedDict()
 
     def seal(self, payload: object) -> bytes:
         """One packet. Raises ``PacketTooLongError`` if it would not fit."""
         self._number += 1
         body: bytes = msgpack.packb([self._instance, self._number, self._settings_digest, payload])
         packet = bytes([VERSION]) + self._digest(VERSION, body) + body
-        if len(packet) > MAX_BYTES:
+        if len(packet) > MAX_PACKET_BYTES:
             raise PacketTooLongError(len(packet))
         return packet
 
@@ -114,7 +114,7 @@
         return body.payload
 
     def _read_body(self, packet: bytes) -> PacketBody:
-        if len(packet) > MAX_BYTES or len(packet) <= HEADER_BYTES:
+        if len(packet) > MAX_PACKET_BYTES or len(packet) <= HEADER_BYTES:
             raise PacketRejectedError(RejectReason.WRONG_LENGTH)
         version = packet[0]
         if version < OLDEST_VERSION:
@@ -131,10 +131,10 @@
             raise PacketRejectedError(RejectReason.MALFORMED) from None
 
     def _digest(self, version: int, body: bytes) -> bytes:
-        return blake2b(bytes([version]) + body, key=self._key, digest_size=DIGEST).digest()
+        return blake2b(bytes([version]) + body, key=self._key, digest_size=DIGEST_BYTES).digest()
 
-    def _window(self, instance: int) -> Window:
-        window = self._windows.setdefault(instance, Window())
+    def _window(self, instance: int) -> ReplayWindow:
+        window = self._windows.setdefault(instance, ReplayWindow())
         self._windows.move_to_end(instance)
         if len(self._windows) > MAX_SENDERS:
             self._windows.popitem(last=False)
@@ -142,21 +142,21 @@
 
 
 @dataclass(slots=True)
-class Window:
+class ReplayWindow:
     """The packet numbers of one sender that have arrived."""
 
     highest: int = 0
-    seen: int = 0  # one bit for each of the last ``WINDOW`` numbers, the lowest bit for ``highest``
+    seen: int = 0  # one bit for each of the last ``REPLAY_WINDOW`` numbers, the lowest bit for ``highest``
 
     def accept(self, number: int) -> bool:
         """Record a number. False if it arrived before or is too old to tell."""
         if number > self.highest:
-            shift = min(WINDOW, number - self.highest)
-            self.seen = (self.seen << shift | 1) & ((1 << WINDOW) - 1)
+            shift = min(REPLAY_WINDOW, number - self.highest)
+            self.seen = (self.seen << shift | 1) & ((1 << REPLAY_WINDOW) - 1)
             self.highest = number
             return True
         age = self.highest - number
-        if age >= WINDOW:
+        if age >= REPLAY_WINDOW:
             return False
         bit = 1 << age
         if self.seen & bit:
@@ -168,40 +168,40 @@
 # --- messages
 
 
-def packed(message: Message) -> list[object]:
+def pack_message(message: Message) -> list[object]:
     """A message as plain values for MessagePack, in the order of the fields on the wire."""
     return [
         int(message.kind),
-        _packed_fact(message.sender),
+        _pack_fact(message.sender),
         message.number,
         message.target,
         message.digest,
-        [_packed_fact(fact) for fact in message.facts],
+        [_pack_fact(fact) for fact in message.facts],
     ]
 
 
-def unpacked(payload: object) -> Message:
+def unpack_message(payload: object) -> Message:
     """The message in a payload. Raises ``PacketRejectedError`` for one that makes no sense."""
     try:
         kind, sender, number, target, digest, facts = payload[:MESSAGE_FIELDS]  # type: ignore[index]
         _require(isinstance(facts, list) and len(facts) <= MAX_FACTS)
         return Message(
             Kind(kind),
-            _unpacked_fact(sender),
+            _unpack_fact(sender),
             _natural(number),
             _name_or_empty(target),
             _natural(digest),
-            tuple(_unpacked_fact(fact) for fact in facts),
+            tuple(_unpack_fact(fact) for fact in facts),
         )
     except (ValueError, TypeError, KeyError, AttributeError):
         raise PacketRejectedError(RejectReason.MALFORMED) from None
 
 
-def _packed_fact(fact: Fact) -> list[object]:
+def _pack_fact(fact: Fact) -> list[object]:
     return [fact.name, *fact.address, fact.instance, fact.incarnation, int(fact.state), fact.suspected_by]
 
 
-def _unpacked_fact(fields: Any) -> Fact:
+def _unpack_fact(fields: Any) -> Fact:
     name, host, port, instance, incarnation, state, suspected_by = fields[:FACT_FIELDS]
     _require(isinstance(host, str) and 1 <= len(host) <= MAX_HOST_CHARACTERS)
     _require(_is_natural(port) and 1 <= port <= MAX_PORT)
--- a/grebeproxy/peers/payloads.py
+++ b/grebeproxy/peers/payloads.py
@@ -40,7 +40,7 @@
 
 def pack_member(message: Message) -> Payload:
     """The payload of a membership message."""
-    return [MEMBER, wire.packed(message)]
+    return [MEMBER, wire.pack_message(message)]
 
 
 def pack_vote(sender: str, instance: int, vote: Vote) -> Payload:
@@ -66,7 +66,7 @@
     try:
         kind, fields = payload[0], payload[1:]
         if kind == MEMBER:
-            return membership.MessageReceived(wire.unpacked(fields[0]))
+            return membership.MessageReceived(wire.unpack_message(fields[0]))
         if kind == VOTE:
             return VoteReceived(fields[0], fields[1], _unpack_vote(fields[2]))
         if kind == DIGEST:
--- a/grebeproxy/peers/runtime.py
+++ b/grebeproxy/peers/runtime.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from grebeproxy.membership.lease import Token
-from grebeproxy.membership.wire import Sealed, WireError
+from grebeproxy.membership.wire import PacketCodec, WireError
 from grebeproxy.peers import interface
 from grebeproxy.peers.duty_tasks import DutyTasks
 from grebeproxy.peers.event_log import EventLog
@@ -26,7 +26,7 @@
         instance = int.from_bytes(os.urandom(INSTANCE_BYTES), "big")
         self.config = config
         self.node = Node(config, instance, Random(instance), self.now())
-        self._sealed = Sealed(config.key, instance, config.settings_digest)
+        self._sealed = PacketCodec(config.key, instance, config.settings_digest)
         self._log = EventLog(self.now)
         self._duty_tasks = DutyTasks(config.duties, self._token, self._on_duty_rejected, self._log.write)
         self._transport: asyncio.DatagramTransport | None = None
--- a/tests/test_lab_control.py
+++ b/tests/test_lab_control.py
@@ -19,7 +19,7 @@
 from grebeproxy.lab.control.usage import TRAFFIC_OF_PAYLOAD, Traffic, Usage
 from grebeproxy.lab.record import load_record
 from grebeproxy.membership.model import Condition, Fact, Kind, Message, State
-from grebeproxy.membership.wire import WINDOW, Sealed, packed
+from grebeproxy.membership.wire import REPLAY_WINDOW, PacketCodec, pack_message
 from grebeproxy.peers import node
 from grebeproxy.replica import Limits
 
@@ -34,7 +34,7 @@
 
 def ping(sender: int, target: int) -> list[object]:
     fact = Fact(name(sender), address(sender), 1, 0, State.ALIVE)
-    return [node.MEMBER, packed(Message(Kind.PING, fact, number=1, target=name(target)))]
+    return [node.MEMBER, pack_message(Message(Kind.PING, fact, number=1, target=name(target)))]
 
 
 def counts(fleet: Fleet) -> list[Usage]:
@@ -69,14 +69,14 @@
 
 def test_counted_bytes_are_those_of_sealed_packets(monkeypatch: pytest.MonkeyPatch) -> None:
     sealed_lengths: list[int] = []
-    seal = Sealed.seal
+    seal = PacketCodec.seal
 
-    def counting(self: Sealed, payload: object) -> bytes:
+    def counting(self: PacketCodec, payload: object) -> bytes:
         packet = seal(self, payload)
         sealed_lengths.append(len(packet))
         return packet
 
-    monkeypatch.setattr(Sealed, "seal", counting)
+    monkeypatch.setattr(PacketCodec, "seal", counting)
     fleet = Fleet(SMALL, seed=1, limits=Limits(), duties=(DUTY,), key_bytes=16)
     fleet.start_converged()
     fleet.request_lease(0)
@@ -107,7 +107,7 @@
     fleet._queue.clear()
     sender = fleet.processes[1]
     fleet._send(sender, address(0), ping(1, 0))
-    sender.sealed._number += WINDOW  # what it has sent to others meanwhile
+    sender.sealed._number += REPLAY_WINDOW  # what it has sent to others meanwhile
     fleet._send(sender, address(0), ping(1, 0))
     first, late = sorted(fleet._queue, key=lambda arrival: arrival[1], reverse=True)
     before = fleet.usage([0]).packets_received
--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -31,7 +31,7 @@
 from grebeproxy.lab.scale.plans import RoutersPlan
 from grebeproxy.lab.scale.processes import WorkerError, Workers
 from grebeproxy.lab.scale.run import Options, Outcome, Progress
-from grebeproxy.membership.lease import DRIFT
+from grebeproxy.membership.lease import MAX_CLOCK_DRIFT
 from grebeproxy.net import changelog, resp
 from grebeproxy.policy.interface import EngineState, ListKind
 
@@ -223,7 +223,7 @@
 
 
 def test_clocks_differ_by_less_than_leases_allow() -> None:
-    assert 2 * MAX_DRIFT < DRIFT
+    assert 2 * MAX_DRIFT < MAX_CLOCK_DRIFT
     clocks = [SkewedClock(Random(seed)) for seed in range(20)]
     shown = [clock.now() for clock in clocks]
     assert max(shown) - min(shown) > 10.0
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -11,16 +11,16 @@
 
 from grebeproxy.membership.model import Fact, Kind, Message, State
 from grebeproxy.membership.wire import (
-    DIGEST,
-    MAX_BYTES,
+    DIGEST_BYTES,
+    MAX_PACKET_BYTES,
     MAX_FACTS,
     MAX_NUMBER,
-    WINDOW,
-    Sealed,
-    Window,
+    REPLAY_WINDOW,
+    PacketCodec,
+    ReplayWindow,
     WireError,
-    packed,
-    unpacked,
+    pack_message,
+    unpack_message,
 )
 
 NAMES = st.text(st.characters(codec="utf-8"), min_size=1, max_size=8)
@@ -46,18 +46,18 @@
 KEY = b"a key of the fleet"
 
 
-def pair(settings_digest: int = 7) -> tuple[Sealed, Sealed]:
-    return Sealed(KEY, 1, 7), Sealed(KEY, 2, settings_digest)
+def pair(settings_digest: int = 7) -> tuple[PacketCodec, PacketCodec]:
+    return PacketCodec(KEY, 1, 7), PacketCodec(KEY, 2, settings_digest)
 
 
 @given(MESSAGES)
 def test_a_message_decodes_as_it_was_encoded_and_fits_a_packet(message: Message) -> None:
     one, other = pair()
-    packet = one.seal(packed(message))
-    assert len(packet) <= MAX_BYTES
-    assert unpacked(other.open(packet)) == message
+    packet = one.seal(pack_message(message))
+    assert len(packet) <= MAX_PACKET_BYTES
+    assert unpack_message(other.open(packet)) == message
     # Decoded by hand as well: the wire is as documented.
-    instance, number, settings_digest, payload = msgpack.unpackb(packet[1 + DIGEST :])
+    instance, number, settings_digest, payload = msgpack.unpackb(packet[1 + DIGEST_BYTES :])
     assert (packet[0], instance, number, settings_digest) == (2, 1, 1, 7)
     assert payload[0] == int(message.kind) and len(payload[5]) == len(message.facts)
     assert all(
@@ -69,7 +69,7 @@
 @given(MESSAGES, st.data())
 def test_a_corrupt_packet_is_rejected(message: Message, data: st.DataObject) -> None:
     one, other = pair()
-    packet = one.seal(packed(message))
+    packet = one.seal(pack_message(message))
     position = data.draw(st.integers(0, len(packet) - 1))
     flipped = bytes([packet[position] ^ data.draw(st.integers(1, 255))])
     for corrupt in (packet[:position], packet[:position] + flipped + packet[position + 1 :], packet + b"x"):
@@ -77,7 +77,7 @@
             other.open(corrupt)
 
 
-@given(st.binary(max_size=MAX_BYTES + 1))
+@given(st.binary(max_size=MAX_PACKET_BYTES + 1))
 def test_noise_is_rejected(noise: bytes) -> None:
     with pytest.raises(WireError):
         pair()[1].open(noise)
@@ -104,22 +104,22 @@
     except WireError:
         return
     with pytest.raises(WireError):
-        unpacked(opened)
+        unpack_message(opened)
 
 
 @given(MESSAGES, st.data())
 def test_an_invalid_field_is_rejected_whichever_it_is(message: Message, data: st.DataObject) -> None:
-    fields = packed(message)
+    fields = pack_message(message)
     position = data.draw(st.integers(0, 5))
     fields[position] = data.draw(st.sampled_from([None, -1, 2.5, "x" * 33, {}, b"", [[]] * (MAX_FACTS + 1)]))
     with pytest.raises(WireError):
-        unpacked(fields)
+        unpack_message(fields)
 
 
 def test_another_key_or_settings_digest_or_an_old_version_is_rejected_and_a_later_one_accepted() -> None:
     one, other = pair()
     packet = one.seal([1])
-    for wrong in (Sealed(b"another key", 2, 7), Sealed(KEY, 2, 8)):
+    for wrong in (PacketCodec(b"another key", 2, 7), PacketCodec(KEY, 2, 8)):
         with pytest.raises(WireError):
             wrong.open(packet)
     assert other.open(packet) == [1]
@@ -155,18 +155,18 @@
     assert sorted(accepted) == list(range(200))
 
 
-@given(st.lists(st.integers(1, 3 * WINDOW), max_size=60))
+@given(st.lists(st.integers(1, 3 * REPLAY_WINDOW), max_size=60))
 def test_the_window_accepts_what_a_set_of_all_numbers_would(numbers: list[int]) -> None:
-    window = Window()
+    window = ReplayWindow()
     arrived: set[int] = set()
     for number in numbers:
-        expected = number not in arrived and number > max(arrived, default=0) - WINDOW
+        expected = number not in arrived and number > max(arrived, default=0) - REPLAY_WINDOW
         assert window.accept(number) is expected
         arrived.add(number)
 
 
 def test_the_number_of_remembered_senders_is_bounded() -> None:
-    other = Sealed(KEY, 2, 7)
+    other = PacketCodec(KEY, 2, 7)
     for instance in range(5000):
-        other.open(Sealed(KEY, instance, 7).seal([]))
+        other.open(PacketCodec(KEY, instance, 7).seal([]))
     assert len(other._windows) == 4096
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,7 +12,7 @@
 
 from grebeproxy.membership.lease import Vote, VoteKind
 from grebeproxy.membership.model import Fact, Kind, Message, State
-from grebeproxy.membership.wire import MAX_BYTES, Sealed, packed
+from grebeproxy.membership.wire import MAX_PACKET_BYTES, PacketCodec, pack_message
 from grebeproxy.peers import OperatorFileError, load, parse
 from grebeproxy.peers.node import PayloadReceived, Datagram, Node, Tick, Wake
 from grebeproxy.replica import Limits
@@ -158,19 +158,19 @@
     versions = [["o" * 32, 2**40, 2**48, 2**53] for _ in range(MAX_ORIGINS_PER_DIGEST)]
     value = bytes(Limits().value)
     for payload in (
-        [1, packed(Message(Kind.GOSSIP, fact, 2**40, name, 2**64 - 1, (fact,) * 8))],
+        [1, pack_message(Message(Kind.GOSSIP, fact, 2**40, name, 2**64 - 1, (fact,) * 8))],
         [2, name, 2**56, [1, "d" * 64, 2**53, 2**51]],
         [3, name, versions, True, True],
         [4, name, name, 2**40, 2**48, 2**53, 2**53, 14.9, [["k" * 64, 2**53, value]]],
         [4, name, name, 2**40, 2**48, 2**53, 2**53, 14.9, [["k", 2**53, b""]] * (MAX_DELTA_BYTES // 17)],
     ):
-        assert len(Sealed(b"k" * 16, 2**56, 2**32 - 1).seal(payload)) <= MAX_BYTES
+        assert len(PacketCodec(b"k" * 16, 2**56, 2**32 - 1).seal(payload)) <= MAX_PACKET_BYTES
 
 
 def test_a_vote_counts_only_from_the_current_process_of_a_member() -> None:
     one = node()
     other = Fact("n2", ("127.0.0.1", 7947), 9, 0, State.ALIVE)
-    one.step(1.0, [PayloadReceived([1, packed(Message(Kind.GOSSIP, other))])])
+    one.step(1.0, [PayloadReceived([1, pack_message(Message(Kind.GOSSIP, other))])])
     ask = Vote(VoteKind.REQUEST, "nightly", 3, 1)
     fields = [int(ask.kind), ask.lease, ask.ballot, ask.request_number]
 
--- a/tests/voters.py
+++ b/tests/voters.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple, Union
 
 from grebeproxy.membership.lease import (
-    DRIFT,
+    MAX_CLOCK_DRIFT,
     Event,
     Fence,
     LeaseAcquired,
@@ -63,7 +63,7 @@
     n: int
     loss: float = 0.0
     delay: tuple[float, float] = DEFAULT_DELAY
-    drift: float = DRIFT / 2
+    drift: float = MAX_CLOCK_DRIFT / 2
     now: float = 0.0
     violations: list[str] = field(default_factory=list)
     acts: list[Act] = field(default_factory=list)
