--- a/grebeproxy/net/effects.py
+++ b/grebeproxy/net/effects.py
@@ -45,7 +45,7 @@
     """Carry the effects out, in order."""
     for effect in effects:
         match effect:
-            case events.Answer() | events.CloseClient() | events.HalfCloseClient():
+            case events.AnswerClient() | events.CloseClient() | events.HalfCloseClient():
                 _on_client(target, effect)
             case events.OpenLink() | events.Write() | events.CloseLink():
                 _on_engine(target, effect)
@@ -75,13 +75,13 @@
 
 
 def _on_client(
-    target: EffectTarget, effect: events.Answer | events.CloseClient | events.HalfCloseClient
+    target: EffectTarget, effect: events.AnswerClient | events.CloseClient | events.HalfCloseClient
 ) -> None:
     client = target.clients.get(effect.conn)
     if client is None:
         return
     match effect:
-        case events.Answer(_, message):
+        case events.AnswerClient(_, message):
             client.write(msgpack_rpc.encode(message))
         case events.HalfCloseClient():
             client.half_close()
--- a/grebeproxy/net/events.py
+++ b/grebeproxy/net/events.py
@@ -195,7 +195,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class AnswerClient:
     """Send a message to a client."""
 
     conn: int
@@ -304,7 +304,7 @@
 
 
 Effect = Union[
-    Answer,
+    AnswerClient,
     CloseClient,
     HalfCloseClient,
     AnswerAdmin,
--- a/grebeproxy/net/router/answers.py
+++ b/grebeproxy/net/router/answers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from grebeproxy.net.admission import Client
-from grebeproxy.net.events import Answer
+from grebeproxy.net.events import AnswerClient
 from grebeproxy.net.messages import ToClient
 from grebeproxy.net.router.options import RouterOptions
 from grebeproxy.net.router.records import Request
@@ -24,7 +24,7 @@
         """Send the final answer, unless the request already had one."""
         if request.awaiting_answer:
             self._settle(request)
-            self._effects.append(Answer(request.conn, message))
+            self._effects.append(AnswerClient(request.conn, message))
         self._forget_if_finished(request)
 
     def _settle(self, request: Request) -> None:
--- a/grebeproxy/net/router/clients.py
+++ b/grebeproxy/net/router/clients.py
@@ -4,7 +4,7 @@
 
 from grebeproxy.net import admission
 from grebeproxy.net.events import (
-    Answer,
+    AnswerClient,
     ClientClosed,
     ClientEvent,
     ClientMessageReceived,
@@ -109,7 +109,7 @@
                 if message_id in client.requests:
                     self._abandon_request(client.requests[message_id])
             case Ping(message_id):
-                self._effects.append(Answer(client.conn, Pong(message_id, not self._draining())))
+                self._effects.append(AnswerClient(client.conn, Pong(message_id, not self._draining())))
             case Invalid(message_id, field):
                 self._count_unusable(client, Failed(message_id, field))
 
@@ -117,7 +117,7 @@
         """Answer an unusable request; a client that keeps sending them is disconnected, to protect others."""
         client.unusable_requests += 1
         if client.unusable_requests < admission.MAX_UNUSABLE_REQUESTS:
-            self._effects.append(Answer(client.conn, answer))
+            self._effects.append(AnswerClient(client.conn, answer))
         else:
             self._close_client(client.conn)
 
@@ -131,11 +131,11 @@
             # An engine still has a request with this id; the answers to both would mix.
             self._count_unusable(client, Failed(call.message_id, "txn"))
         elif call.query_class not in self._deadlines:  # removed, which clients may not know yet
-            self._effects.append(Answer(client.conn, rejected))
+            self._effects.append(AnswerClient(client.conn, rejected))
         elif len(client.requests) >= admission.MAX_OPEN_REQUESTS:
             self._count_unusable(client, rejected)
         elif not self._has_capacity(call):
-            self._effects.append(Answer(client.conn, rejected))
+            self._effects.append(AnswerClient(client.conn, rejected))
         else:
             self._accept_request(client, call, received_at)
 
--- a/tests/test_late_decisions.py
+++ b/tests/test_late_decisions.py
@@ -50,7 +50,7 @@
 
 def rejected(effects: list[events.Effect]) -> set[int]:
     """The message ids of rejected requests."""
-    answers = [effect.message for effect in effects if isinstance(effect, events.Answer)]
+    answers = [effect.message for effect in effects if isinstance(effect, events.AnswerClient)]
     return {answer.message_id for answer in answers if isinstance(answer, messages.Rejected)}
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -97,7 +97,7 @@
                         self.written(link, command)
                 case events.CloseLink(link):
                     self.lost(link)
-                case events.Answer(conn, message):
+                case events.AnswerClient(conn, message):
                     self.answered(conn, message)
                 case events.CloseClient(conn) | events.HalfCloseClient(conn):
                     # A half-closed connection whose client does not close is closed on a little later.
@@ -394,12 +394,15 @@
         0.4 + killed_after - 0.3,
         [events.ClientMessageReceived(1, replace(load_call, message_id=3, txn="b" * 16))],
     )
-    assert events.Answer(1, messages.Rejected(3, 1.0)) in late
-    assert events.Answer(1, messages.Failed(1)) not in late
+    assert events.AnswerClient(1, messages.Rejected(3, 1.0)) in late
+    assert events.AnswerClient(1, messages.Failed(1)) not in late
     ended = router.step(0.4 + killed_after - 0.1, [events.Woken()])
-    answers = [effect for effect in ended if isinstance(effect, events.Answer)]
+    answers = [effect for effect in ended if isinstance(effect, events.AnswerClient)]
     # An idempotent request is rejected, so that its client may retry elsewhere.
-    assert answers == [events.Answer(1, messages.Failed(1)), events.Answer(1, messages.Rejected(2, 1.0))]
+    assert answers == [
+        events.AnswerClient(1, messages.Failed(1)),
+        events.AnswerClient(1, messages.Rejected(2, 1.0)),
+    ]
     # The sockets are read once more, in the same turn.
     after_read = router.step(0.4 + killed_after - 0.1, [events.Woken()])
     assert events.HalfCloseClient(1) in after_read and (ended + after_read).count(events.Exit()) == 1
