--- a/grebeproxy/net/messages.py
+++ b/grebeproxy/net/messages.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Invalid:
+class InvalidRequest:
     """A request that cannot be used, and the name of the field that is invalid."""
 
     message_id: int
@@ -61,7 +61,7 @@
     message_id: int
 
 
-FromClient = Union[Call, Invalid, CancelRequest, Ping]
+FromClient = Union[Call, InvalidRequest, CancelRequest, Ping]
 
 
 # --- to clients
@@ -72,7 +72,7 @@
     """All rows of the result, in order, as the pages they were received in."""
 
     message_id: int
-    parts: tuple[bytes, ...]
+    pages: tuple[bytes, ...]
 
 
 @dataclass(frozen=True, slots=True)
--- a/grebeproxy/net/msgpack_rpc.py
+++ b/grebeproxy/net/msgpack_rpc.py
@@ -15,7 +15,7 @@
     Failed,
     FromClient,
     CancelRequest,
-    Invalid,
+    InvalidRequest,
     Ping,
     Pong,
     Rejected,
@@ -97,9 +97,9 @@
             case [int(kind), int(msg), str(cls), [dict(fields), bytes(body)]] if kind == REQUEST:
                 return self._call(msg, cls, fields, body)
             case [int(kind), int(msg), str(), list()] if kind == REQUEST:
-                return Invalid(msg, "params")
+                return InvalidRequest(msg, "params")
             case [int(kind), int(msg), *_] if kind == REQUEST:
-                return Invalid(msg, "method")
+                return InvalidRequest(msg, "method")
         raise MalformedMessageError("not a request or a notification")
 
     def _call(self, msg: int, cls: str, fields: Fields, body: bytes) -> FromClient:
@@ -119,7 +119,7 @@
                 data_set=table_group(body),
             )
         except _FieldError as error:
-            return Invalid(msg, error.field)
+            return InvalidRequest(msg, error.field)
 
     def _class(self, cls: str) -> str:
         if cls not in self._idempotency:
@@ -176,7 +176,7 @@
     result: list[object] | None = None
     match answer:
         case Served():
-            result = [b"".join(answer.parts), {}]
+            result = [b"".join(answer.pages), {}]
         case Pong():
             result = [answer.serving, {}]
         case Rejected():
--- a/grebeproxy/net/router/clients.py
+++ b/grebeproxy/net/router/clients.py
@@ -19,7 +19,7 @@
     CancelRequest,
     Failed,
     FromClient,
-    Invalid,
+    InvalidRequest,
     Ping,
     Pong,
     Rejected,
@@ -110,7 +110,7 @@
                     self._abandon_request(client.requests[message_id])
             case Ping(message_id):
                 self._effects.append(AnswerClient(client.conn, Pong(message_id, not self._draining())))
-            case Invalid(message_id, field):
+            case InvalidRequest(message_id, field):
                 self._count_unusable(client, Failed(message_id, field))
 
     def _count_unusable(self, client: admission.Client[Request], answer: ToClient) -> None:
