--- a/grebeproxy/net/router/__init__.py
+++ b/grebeproxy/net/router/__init__.py
@@ -22,8 +22,8 @@
 - ``state_machine``: ``Router``, with ``start`` and ``step``
 """
 
-from grebeproxy.net.router.decisions import Decide, Module
+from grebeproxy.net.router.decisions import DecisionModuleFactory, DecisionModule
 from grebeproxy.net.router.options import RouterOptions
 from grebeproxy.net.router.state_machine import Router
 
-__all__ = ["Decide", "Module", "Router", "RouterOptions"]
+__all__ = ["DecisionModuleFactory", "DecisionModule", "Router", "RouterOptions"]
--- a/grebeproxy/net/router/decisions.py
+++ b/grebeproxy/net/router/decisions.py
@@ -13,22 +13,25 @@
 from grebeproxy.policy import interface as api
 
 
-class Module(Protocol):
+class DecisionModule(Protocol):
     """A decision module."""
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
         """Take the events since the last call, in order, and decide; ``now`` is in seconds."""
 
 
-Decide = Callable[[api.Settings, float, int], Module]  # makes a module from settings, the time and a seed
+# Creates a decision module from the settings, the current time in seconds, and a random seed.
+DecisionModuleFactory = Callable[[api.Settings, float, int], DecisionModule]
 
 
 class Decisions(Admin):
     """Decisions: the decision module hears what happened, and its actions are carried out."""
 
-    def __init__(self, options: RouterOptions, now: float, decide: Decide) -> None:
+    def __init__(
+        self, options: RouterOptions, now: float, make_decision_module: DecisionModuleFactory
+    ) -> None:
         super().__init__(options, now)
-        self._choice = decide(self.settings, now, options.seed)
+        self._decision_module = make_decision_module(self.settings, now, options.seed)
         self._next_decision_at = now
 
     def _decide_if_due(self) -> None:
@@ -42,7 +45,7 @@
     def _decide(self, events: list[api.Event]) -> list[api.Action]:
         """Ask the module. After a fault in it the router goes on, and ``_fail_overdue`` answers clients."""
         try:
-            return self._choice.handle(self.now, events)
+            return self._decision_module.handle(self.now, events)
         except Exception:  # whatever the fault is, open requests still have to be answered
             self._effects.append(LogLine(f"router.decision_module.failed\n{traceback.format_exc()}"))
             return []
--- a/grebeproxy/net/router/state_machine.py
+++ b/grebeproxy/net/router/state_machine.py
@@ -31,7 +31,7 @@
     Woken,
     Write,
 )
-from grebeproxy.net.router.decisions import Decide, Decisions
+from grebeproxy.net.router.decisions import DecisionModuleFactory, Decisions
 from grebeproxy.net.router.options import RouterOptions
 from grebeproxy.policy import Choice
 
@@ -39,12 +39,14 @@
 class Router(Decisions):
     """One query router.
 
-    ``now`` is the time in seconds, on the clock that ``start`` and ``step`` are called with. ``decide`` makes
-    the decision module; tests may replace it.
+    ``now`` is the time in seconds, on the clock that ``start`` and ``step`` are called with.
+    ``make_decision_module`` creates the decision module; tests pass another one.
     """
 
-    def __init__(self, options: RouterOptions, now: float, decide: Decide = Choice) -> None:
-        super().__init__(options, now, decide)
+    def __init__(
+        self, options: RouterOptions, now: float, make_decision_module: DecisionModuleFactory = Choice
+    ) -> None:
+        super().__init__(options, now, make_decision_module)
         self._wake_at: float | None = None  # of the last ``Wake`` that has not come back as ``Woken``
         for update in options.known:
             self._change_log.seq = update.seq
--- a/grebeproxy/net/runtime.py
+++ b/grebeproxy/net/runtime.py
@@ -43,7 +43,7 @@
     """Runs one router on an event loop. Tests pass their own ``timers``."""
 
     def __init__(
-        self, config: Config, decide: router.Decide = Choice, timers: LoopTimers | None = None
+        self, config: Config, decide: router.DecisionModuleFactory = Choice, timers: LoopTimers | None = None
     ) -> None:
         self.config = config
         self.timers = timers or LoopTimers()
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -25,7 +25,7 @@
 from grebeproxy.net.dialer import Dialer
 from grebeproxy.net.effects import carry_out
 from grebeproxy.net.messages import ChangeLogUpdate
-from grebeproxy.net.router import Decide, RouterOptions
+from grebeproxy.net.router import DecisionModuleFactory, RouterOptions
 from grebeproxy.net.runtime import Runtime
 from grebeproxy.net.timers import LoopTimers
 from grebeproxy.policy import interface as api
@@ -200,7 +200,7 @@
 class Player(Runtime):
     """The runtime with its sockets, its clock and its log replaced."""
 
-    def __init__(self, decide: Decide, changes: dict[str, Any]) -> None:
+    def __init__(self, decide: DecisionModuleFactory, changes: dict[str, Any]) -> None:
         self.played = PlayedTimers()
         self.transcript: list[str] = []
         self.peers: dict[str, FakeTransport] = {}
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -103,7 +103,7 @@
 
     def nodes(self) -> list[Any]:
         """What the decision module thinks of each engine."""
-        choice: Any = self.runtime._router._choice
+        choice: Any = self.runtime._router._decision_module
         return list(choice.engines.values())
 
     def narrow(self) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -34,7 +34,7 @@
 def router_with_request(module: type[Scripted] = Scripted) -> Router:
     """A router whose one request waits for its connection, number 1, to open."""
     options = router_options([list_event(api.EngineState.UP)])
-    router = Router(options, now=0.0, decide=module)
+    router = Router(options, now=0.0, make_decision_module=module)
     router.start(0.0)
     router.step(0.0, [events.ChangeLogOpened(1)])
     effects = router.step(0.3, [events.ClientOpened(1), events.ClientMessageReceived(1, CALL)])
@@ -95,7 +95,7 @@
     router = router_with_request(Bounded)
     assert bool(run_commands(router.step(up, [events.LinkOpened(link(router))]))) is leaves
     router.step(up + 0.02, [events.Woken()])
-    received = router._choice.received  # type: ignore[attr-defined]
+    received = router._decision_module.received  # type: ignore[attr-defined]
     ends = [event.outcome for event in received if isinstance(event, api.AttemptEnded)]
     assert ends == [] if leaves else ends == [api.Outcome.MOOT]
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -71,7 +71,7 @@
         player.transcript.clear()
         player.peers = {"log": player.peers["log"], **dict(list(player.peers.items())[-4:])}
     assert dialled > LIVES / 2
-    held: dict[str, Any] = {**vars(player._router), **vars(player._router._choice)}
+    held: dict[str, Any] = {**vars(player._router), **vars(player._router._decision_module)}
     sizes = {name: len(value) for name, value in held.items() if hasattr(value, "__len__")}
     bounded = {"data_set_rates": 1024, "_timers": 2000, "_clients": 100}  # the last two: 20 s, 8 s
     assert {name: size for name, size in sizes.items() if size > bounded.get(name, 10)} == {}
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -383,7 +383,7 @@
         seed=1,
         shared=shared,
     )
-    router = Router(options, now=0.0, decide=Silent)
+    router = Router(options, now=0.0, make_decision_module=Silent)
     router.start(0.0)
     load_call = messages.Call(1, "a" * 16, "load", 20.0, b"x", token="t")
     idempotent_call = replace(load_call, message_id=2, txn="c" * 16, query_class="short")
