--- a/grebeproxy/net/router/clients.py
+++ b/grebeproxy/net/router/clients.py
@@ -30,10 +30,12 @@
 from grebeproxy.net.router.records import Request
 from grebeproxy.policy import interface as api
 
-TRANSIT = 0.020  # seconds of a client's limit reserved for the network, for request and answer together
+TRANSIT_RESERVE = (
+    0.020  # seconds of a client's limit reserved for the network, for request and answer together
+)
 # Seconds after its deadline until a request is failed by the router, still within the rules' tolerance: the
 # decision module has had its chance by then.
-OVERDUE = 0.030
+OVERDUE_GRACE = 0.030
 
 
 class Clients(Attempts):
@@ -149,11 +151,11 @@
     def _accept_request(self, client: admission.Client[Request], call: Call, received_at: float) -> None:
         # At most the deadline of its class: client limits of hours would make records pile up.
         # Counted from when the request was read, as the client counts from when it wrote it.
-        deadline = received_at + min(call.timeout, self._deadlines[call.query_class]) - TRANSIT
+        deadline = received_at + min(call.timeout, self._deadlines[call.query_class]) - TRANSIT_RESERVE
         request = Request(call, client.conn, deadline)
         self._requests[call.txn] = client.requests[call.message_id] = request
         self._statement_bytes += len(call.body)
-        self._timers.add(deadline + OVERDUE, self._fail_overdue, call.txn, deadline)
+        self._timers.add(deadline + OVERDUE_GRACE, self._fail_overdue, call.txn, deadline)
         self._module_events.append(
             api.Query(
                 call.txn,
--- a/grebeproxy/net/router/shutdown.py
+++ b/grebeproxy/net/router/shutdown.py
@@ -5,7 +5,7 @@
 from grebeproxy.net import admission
 from grebeproxy.net.events import Exit, HalfCloseClient
 from grebeproxy.net.messages import Failed, Rejected
-from grebeproxy.net.router.clients import OVERDUE
+from grebeproxy.net.router.clients import OVERDUE_GRACE
 from grebeproxy.net.router.options import RouterOptions
 from grebeproxy.net.router.reload import Reload
 from grebeproxy.policy import interface as api
@@ -15,8 +15,8 @@
 ACCEPT_AFTER_STOP = 0.5
 SERVE_AFTER_STOP = 0.7  # seconds after a stop before which the process does not exit, though all is answered
 # The platform kills the process after the longest deadline, but no later than this, plus KILL_MARGIN.
-KILL_ALONE = 3.0  # seconds
-KILL_SHARED = 5.0  # seconds, where another process takes over the socket
+MAX_KILL_DELAY = 3.0  # seconds
+MAX_KILL_DELAY_SHARED_SOCKET = 5.0  # seconds, where another process takes over the socket
 KILL_MARGIN = 0.6  # seconds, which leaves 0.1 s of the platform's 0.7 s
 MIN_REMAINING = 0.25  # seconds before the last answers are due in which no request is accepted any more
 
@@ -53,8 +53,8 @@
             return
         self._stopping = True
         longest_deadline = max(self._deadlines.values())
-        killed_after = min(longest_deadline, KILL_SHARED if self._shared else KILL_ALONE)
-        last_answers_due = requested_at + killed_after + KILL_MARGIN - OVERDUE
+        killed_after = min(longest_deadline, MAX_KILL_DELAY_SHARED_SOCKET if self._shared else MAX_KILL_DELAY)
+        last_answers_due = requested_at + killed_after + KILL_MARGIN - OVERDUE_GRACE
         self._accept_until = min(self._accept_until, last_answers_due - MIN_REMAINING)
         self._timers.add(last_answers_due, self._answer_all)
         if self._shared:  # the process that takes over accepts the connections still queued
--- a/tests/test_late_decisions.py
+++ b/tests/test_late_decisions.py
@@ -95,7 +95,7 @@
     router = serving_router()
     router.step(1.0 + lateness, [events.ClientMessageReceived(1, call(6), received_at=1.0)])
     [request] = [request for request in router._requests.values() if request.call.message_id == 6]
-    assert request.deadline == pytest.approx(1.0 + CLIENT_TIMEOUT - clients.TRANSIT)
+    assert request.deadline == pytest.approx(1.0 + CLIENT_TIMEOUT - clients.TRANSIT_RESERVE)
 
 
 @pytest.mark.parametrize("marks_retries", [True, False])
