--- a/grebeproxy/net/follower.py
+++ b/grebeproxy/net/follower.py
@@ -101,7 +101,7 @@
         self._reset_delays()
         if update.change is None or update.seq <= self.seq:
             return False
-        if update.change.how is not ListKind.FULL and update.seq != self.seq + 1:
+        if update.change.list_kind is not ListKind.FULL and update.seq != self.seq + 1:
             raise ChangeLogGapError(f"event {update.seq} came after {self.seq}")
         self.seq = update.seq
         return True
--- a/grebeproxy/net/router/attempts.py
+++ b/grebeproxy/net/router/attempts.py
@@ -35,11 +35,11 @@
         attempt = self._new_attempt(request, action)
         if not request.awaiting_answer or request.in_flight is not None or attempt.deadline <= self.now:
             # At most one attempt is in flight, whatever was decided.
-            self._report_attempt(attempt, api.Outcome.MOOT)
+            self._report_attempt(attempt, api.Outcome.SKIPPED)
             return
         request.in_flight = attempt
         if action.engine in self._disabled_engines:  # manual overrides hold, whatever was decided
-            self._end_attempt(attempt, api.Outcome.MOOT)
+            self._end_attempt(attempt, api.Outcome.SKIPPED)
             return
         if action.engine not in self._locations:  # another engine has its address now
             self._end_attempt(attempt, api.Outcome.CONNECT_FAILED)
@@ -63,7 +63,7 @@
             action.engine,
             self.now,
             deadline=min(action.until, request.deadline),
-            write_by=float("inf") if action.by is None else action.by,
+            write_by=float("inf") if action.send_before is None else action.send_before,
         )
         request.attempt_count += 1
         return attempt
@@ -158,7 +158,7 @@
             case AnswerKind.FULL if attempt.pages is None:
                 self._end_attempt(attempt, api.Outcome.FULL)
             case AnswerKind.STALE if attempt.pages is None:
-                self._end_attempt(attempt, api.Outcome.MOOT)
+                self._end_attempt(attempt, api.Outcome.SKIPPED)
             case AnswerKind.INVALID:  # no other answer on its connection can be trusted either
                 self._effects.append(LogLine(log_line("router.engine_answer.invalid", engine=link.engine)))
                 self._drop_link(link)
--- a/grebeproxy/net/router/discovery.py
+++ b/grebeproxy/net/router/discovery.py
@@ -95,7 +95,7 @@
         change, addresses = update.change, update.addresses or {}
         if change is None:
             return
-        if change.how is api.ListKind.FULL:
+        if change.list_kind is api.ListKind.FULL:
             for engine in sorted(self._locations.keys() - addresses.keys()):
                 self._retire_links(engine)
                 self._locations[engine].gone = True
--- a/grebeproxy/net/router/engine_links.py
+++ b/grebeproxy/net/router/engine_links.py
@@ -104,7 +104,7 @@
             if self.now < attempt.write_by:
                 ready.append(attempt)
             else:  # a retry that waited for its connection until it was no longer harmless
-                self._end_attempt(attempt, api.Outcome.MOOT)
+                self._end_attempt(attempt, api.Outcome.SKIPPED)
         if not ready:
             return
         if link.id not in self._commands:
@@ -187,6 +187,6 @@
             link.retired = True
             # Nothing may be sent once a drain was announced, so what is not written yet never will be.
             for attempt in [attempt for attempt in link.attempts.values() if not attempt.written]:
-                self._end_attempt(attempt, api.Outcome.MOOT)
+                self._end_attempt(attempt, api.Outcome.SKIPPED)
             if drop or not link.attempts:
                 self._drop_link(link)
--- a/grebeproxy/policy/actions.py
+++ b/grebeproxy/policy/actions.py
@@ -10,14 +10,14 @@
 class Send:
     """Start an attempt; it is abandoned at clock time ``until``.
 
-    Where ``by`` is given, it may not be sent at that clock time or later, as it would be a retry that may do
-    harm: one that waits for a connection until then ends as ``MOOT``.
+    Where ``send_before`` is given, the attempt is a retry that may do harm when sent at that time or
+    later. If it is still waiting for a connection then, it is not sent, and ends as ``SKIPPED``.
     """
 
     id: str
     engine: str
     until: float
-    by: float | None = None
+    send_before: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/grebeproxy/policy/choice.py
+++ b/grebeproxy/policy/choice.py
@@ -72,7 +72,7 @@
 
     def _engine_list_received(self, event: api.EngineList) -> None:
         """Apply the list; after a failed poll ask again well before the list grows too old."""
-        if event.how is api.ListKind.FAILED:
+        if event.list_kind is api.ListKind.FAILED:
             self.watch_at = self.now + (self.settings.rules.list_max_age or 1.0) / 4
         else:
             self.apply_engine_list(event)
--- a/grebeproxy/policy/engine_tracking.py
+++ b/grebeproxy/policy/engine_tracking.py
@@ -63,7 +63,7 @@
     def apply_engine_list(self, event: EngineList) -> None:
         """Apply a list or its changes; an engine that has restarted warms up, and may be tried at once."""
         entries = {entry.id: entry for entry in event.engines}
-        if event.how is not ListKind.CHANGES:
+        if event.list_kind is not ListKind.CHANGES:
             for missing in [id for id in self.engine_list if id not in entries]:
                 entries[missing] = replace(self.engine_list[missing], state=EngineState.GONE, started=None)
         for entry in entries.values():
--- a/grebeproxy/policy/events.py
+++ b/grebeproxy/policy/events.py
@@ -36,12 +36,12 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    SKIPPED = "moot"
 
     @property
     def never_ran(self) -> bool:
         """True when this outcome proves that the attempt did not run."""
-        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.SKIPPED)
 
 
 class ProgressKind(Enum):
@@ -69,7 +69,7 @@
 class EngineList:
     """A list from service discovery, or changes to it."""
 
-    how: ListKind
+    list_kind: ListKind
     engines: tuple[Engine, ...] = ()
     version: int = 0
 
--- a/grebeproxy/simulator_adapter/decode.py
+++ b/grebeproxy/simulator_adapter/decode.py
@@ -28,7 +28,7 @@
     "ConnectError": api.Outcome.CONNECT_FAILED,
     "ResetByPeer": api.Outcome.RESET,
     "Canceled": api.Outcome.CANCELLED,
-    "Ignored": api.Outcome.MOOT,
+    "Ignored": api.Outcome.SKIPPED,
 }
 PROGRESS_KINDS = {1: api.ProgressKind.FRACTION_DONE, 2: api.ProgressKind.SPILLS_MB, 3: api.ProgressKind.WAITS}
 # A query's true cost holds its work and memory in one number: work in ms times this, plus units of memory.
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -97,7 +97,7 @@
     router.step(up + 0.02, [events.Woken()])
     received = router._decision_module.received  # type: ignore[attr-defined]
     ends = [event.outcome for event in received if isinstance(event, api.AttemptEnded)]
-    assert ends == [] if leaves else ends == [api.Outcome.MOOT]
+    assert ends == [] if leaves else ends == [api.Outcome.SKIPPED]
 
 
 def test_an_idle_client_is_read_once_more_before_its_connection_closes() -> None:
--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -184,12 +184,12 @@
     pieces = [data[start : start + cut] for start in range(0, len(data), cut)]
     updates = [update for piece in pieces for update in decoder.feed(piece)]
     full, heartbeat, changes = updates
-    assert full.change is not None and full.change.how is ListKind.FULL
+    assert full.change is not None and full.change.list_kind is ListKind.FULL
     assert [engine.id for engine in full.change.engines] == [f"s-{number:08x}" for number in range(1, 31)]
     assert full.addresses == {f"s-{record.number:08x}": record.address for record in RECORDS}
     assert len({engine.zone for engine in full.change.engines}) == 6
     assert (heartbeat.seq, heartbeat.change, heartbeat.addresses) == (1, None, None)
-    assert changes.change is not None and changes.change.how is ListKind.CHANGES
+    assert changes.change is not None and changes.change.list_kind is ListKind.CHANGES
     assert [(engine.id, engine.state) for engine in changes.change.engines] == [
         ("s-00000002", EngineState.DRAINING)
     ]
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -301,7 +301,7 @@
     [made] = recorder.made
     lists = [event for event in made.events if isinstance(event, api.EngineList)]
     assert [[e.id for e in news.engines] for news in lists] == [["10.0.0.1:9000"], ["10.0.0.2:9000"], []]
-    assert lists[2].how is api.ListKind.FAILED
+    assert lists[2].list_kind is api.ListKind.FAILED
 
 
 def test_stop_then_hello_in_one_batch_starts_empty(recorder: type[Recorder]) -> None:
