--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -94,12 +94,12 @@
         self.attempts: dict[str, int] = {}
         self.count = 0
         if engines:
-            self.tell(*(Engine(f"e{i}", "medium", **engine) for i in range(engines)))
+            self.receive_engine_list(*(Engine(f"e{i}", "medium", **engine) for i in range(engines)))
 
-    def tell(self, *engines: Engine, how: ListKind = ListKind.FULL) -> list[Action]:
-        return self.do(EngineList(how, engines))
+    def receive_engine_list(self, *engines: Engine, list_kind: ListKind = ListKind.FULL) -> list[Action]:
+        return self.handle(EngineList(list_kind, engines))
 
-    def do(self, *events: Event, at: float | None = None) -> list[Action]:
+    def handle(self, *events: Event, at: float | None = None) -> list[Action]:
         self.now = at if at is not None else self.now
         actions = self.choice.handle(self.now, list(events))
         for action in actions:
@@ -108,21 +108,21 @@
         return actions
 
     def sweep(self, at: float) -> list[Action]:
-        return self.do(TimerFired("sweep"), at=at)
+        return self.handle(TimerFired("sweep"), at=at)
 
-    def ask(
+    def submit(
         self, cls: str = "short", *, wait: float = 4.0, id: str | None = None, **fields: Any
     ) -> list[Action]:
         self.count += 1
-        return self.do(Query(id or f"q{self.count}", cls, self.now + wait, **fields))
+        return self.handle(Query(id or f"q{self.count}", cls, self.now + wait, **fields))
 
-    def end(self, send: Send, outcome: Outcome, latency: float = 0.1, **fields: Any) -> list[Action]:
+    def end_attempt(self, send: Send, outcome: Outcome, latency: float = 0.1, **fields: Any) -> list[Action]:
         settled = outcome is Outcome.OK
-        return self.do(
+        return self.handle(
             AttemptEnded(send.id, send.engine, self.attempts[send.id], outcome, latency, settled, **fields)
         )
 
-    def crowd(self) -> None:
+    def put_engines_under_pressure(self) -> None:
         """Makes every engine show pressure, as after a FULL answer."""
         for node in self.choice.engines.values():
             node.full_until = self.now + 1000.0
@@ -137,7 +137,7 @@
     return [a for a in actions if isinstance(a, Send)]
 
 
-def finals(actions: list[Action]) -> list[Reject | Fail]:
+def final_answers(actions: list[Action]) -> list[Reject | Fail]:
     return [a for a in actions if isinstance(a, Reject | Fail)]
 
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -44,7 +44,7 @@
         seed = self.asked + index
         harness.choice = type(harness.choice)(replace(self.settings, index=index), self.now, seed)
         harness.now = self.now
-        harness.tell(*self.entries)
+        harness.receive_engine_list(*self.entries)
         self.harnesses[index : index + 1] = [harness]
 
     def run(self, seconds: float, rate: Callable[[str], float], outcome: Outcome = Outcome.OK) -> None:
@@ -61,10 +61,10 @@
         harness, self.asked = self.harnesses[index], self.asked + 1
         harness.now = self.now
         estimate = work * self.draw.lognormvariate(-0.3, 0.8)
-        out = sends(harness.ask(cls, wait=8.0, work=estimate, id=f"{self.asked}"))
+        out = sends(harness.submit(cls, wait=8.0, work=estimate, id=f"{self.asked}"))
         for send in self.noted(harness, out):
-            for more in self.noted(harness, sends(harness.end(send, outcome, 0.05))):
-                self.noted(harness, sends(harness.end(more, Outcome.OK, 0.05)))
+            for more in self.noted(harness, sends(harness.end_attempt(send, outcome, 0.05))):
+                self.noted(harness, sends(harness.end_attempt(more, Outcome.OK, 0.05)))
 
     def noted(self, harness: RouterHarness, out: list[Send]) -> list[Send]:
         for send in out:
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from conftest import LOAD, LONG, SHORT, RouterHarness, cancels, finals, make_settings, sends
+from conftest import LOAD, LONG, SHORT, RouterHarness, cancels, final_answers, make_settings, sends
 
 from grebeproxy.policy.interface import (
     Action,
@@ -37,23 +37,23 @@
 
 
 def note(harness: RouterHarness, engine: str, share: float, id: str = "a", attempt: int = 0) -> None:
-    harness.do(Progress(id, engine, attempt, ProgressKind.FRACTION_DONE, share))
+    harness.handle(Progress(id, engine, attempt, ProgressKind.FRACTION_DONE, share))
 
 
 def test_a_long_query_goes_where_a_health_check_is_answered_first() -> None:
     harness = asking()
-    first = harness.ask("long", wait=20.0, work=1.0)
+    first = harness.submit("long", wait=20.0, work=1.0)
     asked = probes(first)
     assert len(set(asked)) == 3 and not sends(first)
     harness.now += 0.01
     back = [HealthCheckEnded(asked[0], 0.004, Outcome.OK), HealthCheckEnded(asked[1], 0.002, Outcome.OK)]
-    [send] = sends(harness.do(*back))
+    [send] = sends(harness.handle(*back))
     assert send.engine == asked[1]
 
 
 def test_unanswered_health_checks_delay_a_query_for_a_moment_only() -> None:
     harness = asking()
-    asked = probes(harness.ask("long", wait=20.0, work=1.0))
+    asked = probes(harness.submit("long", wait=20.0, work=1.0))
     assert not sends(harness.sweep(100.02))
     [send] = sends(harness.sweep(100.1))
     assert send.engine not in asked
@@ -61,43 +61,43 @@
 
 def test_a_failed_health_check_is_no_recommendation() -> None:
     harness = asking()
-    asked = probes(harness.ask("long", wait=20.0, work=1.0))
+    asked = probes(harness.submit("long", wait=20.0, work=1.0))
     harness.now += 0.01
-    assert not sends(harness.do(HealthCheckEnded(asked[0], 0.001, Outcome.TIMEOUT)))
-    [send] = sends(harness.do(HealthCheckEnded(asked[2], 0.02, Outcome.OK)))
+    assert not sends(harness.handle(HealthCheckEnded(asked[0], 0.001, Outcome.TIMEOUT)))
+    [send] = sends(harness.handle(HealthCheckEnded(asked[2], 0.02, Outcome.OK)))
     assert send.engine == asked[2]
 
 
 def test_short_queries_and_sites_without_health_checks_send_none() -> None:
-    assert len(sends(asking().ask(work=0.1))) == 1
+    assert len(sends(asking().submit(work=0.1))) == 1
     silent = RouterHarness(make_settings(balancers=100), engines=6)
-    actions = silent.ask("long", wait=20.0, work=1.0)
+    actions = silent.submit("long", wait=20.0, work=1.0)
     assert len(sends(actions)) == 1 and not probes(actions)
 
 
 def test_a_health_check_takes_an_ejected_engine_back_but_not_one_that_was_unreachable() -> None:
     for outcome, back in ((Outcome.RESET, True), (Outcome.CONNECT_FAILED, False)):
         harness = asking()
-        [send] = sends(harness.ask(work=0.1, id="a"))
+        [send] = sends(harness.submit(work=0.1, id="a"))
         lost = harness.choice.engines[send.engine]
         lost.fault_rate = 1.0
-        harness.end(send, outcome)
+        harness.end_attempt(send, outcome)
         assert lost.ejected_at is not None
         harness.now += 30.0
-        assert send.engine in probes(harness.ask("long", wait=20.0, work=1.0))
-        harness.do(HealthCheckEnded(send.engine, 0.002, Outcome.OK))
+        assert send.engine in probes(harness.submit("long", wait=20.0, work=1.0))
+        harness.handle(HealthCheckEnded(send.engine, 0.002, Outcome.OK))
         assert (lost.ejected_at is None) is back
 
 
 def test_an_attempt_that_a_fresh_one_would_beat_is_cancelled_and_retried() -> None:
     harness = RouterHarness(make_settings(progress_period=2.0), engines=3)
-    [send] = sends(harness.ask("long", wait=20.0, work=3.0, id="a"))
+    [send] = sends(harness.submit("long", wait=20.0, work=3.0, id="a"))
     harness.now += 2.0
     note(harness, send.engine, 0.1)
     [cancel] = cancels(harness.sweep(102.0))
     assert (cancel.id, cancel.attempt) == ("a", 0)
     slow = harness.choice.engines[send.engine].slowdown
-    [again] = sends(harness.end(send, Outcome.CANCELLED, 2.0))
+    [again] = sends(harness.end_attempt(send, Outcome.CANCELLED, 2.0))
     assert again.engine != send.engine
     assert harness.choice.engines[send.engine].slowdown <= slow  # a bad plan is no fault of the engine
 
@@ -106,7 +106,7 @@
     once = replace(LONG, name="once", idempotency=Idempotency.NON_IDEMPOTENT)
     for name, share in (("long", 0.6), ("once", 0.1)):
         harness = RouterHarness(make_settings(classes=(SHORT, LONG, once), progress_period=2.0), engines=3)
-        [send] = sends(harness.ask(name, wait=20.0, work=3.0, id="a"))
+        [send] = sends(harness.submit(name, wait=20.0, work=3.0, id="a"))
         harness.now += 2.0
         note(harness, send.engine, share)
         assert not cancels(harness.sweep(102.0))
@@ -114,7 +114,7 @@
 
 def test_a_lost_answer_is_asked_for_again_without_blaming_an_engine_that_is_heard() -> None:
     harness = RouterHarness(make_settings(balancers=100), engines=3)
-    [send] = sends(harness.ask("long", wait=20.0, work=1.5, id="a"))
+    [send] = sends(harness.submit("long", wait=20.0, work=1.5, id="a"))
     node = harness.choice.engines[send.engine]
     for step in range(1, 40):
         node.heard_at = harness.now
@@ -122,12 +122,12 @@
             break
     assert node.ejected_at is None
     assert 101.5 < harness.now < 102.5
-    assert [s.id for s in sends(harness.end(send, Outcome.CANCELLED, 2.0))] == ["a"]
+    assert [s.id for s in sends(harness.end_attempt(send, Outcome.CANCELLED, 2.0))] == ["a"]
 
 
 def test_an_overload_that_slows_its_engine_does_not_cancel_an_attempt() -> None:
     harness = RouterHarness(make_settings(progress_period=2.0), engines=3)
-    [send] = sends(harness.ask("long", wait=20.0, work=3.0, id="a"))
+    [send] = sends(harness.submit("long", wait=20.0, work=3.0, id="a"))
     harness.choice.engines[send.engine].slowdown = 4.0
     harness.now += 2.0
     note(harness, send.engine, 0.15)
@@ -137,7 +137,7 @@
 @pytest.mark.parametrize(("slow", "off"), [(1.0, True), (4.0, False)])
 def test_a_bad_plan_is_cancelled_where_its_engine_is_not_slow(slow: float, off: bool) -> None:
     harness = RouterHarness(make_settings(), engines=3)
-    [send] = sends(harness.ask("long", wait=20.0, work=1.5, id="a"))
+    [send] = sends(harness.submit("long", wait=20.0, work=1.5, id="a"))
     node = harness.choice.engines[send.engine]
     node.heard_at, node.slowdown = 101.6, slow
     assert not cancels(harness.sweep(101.4))
@@ -149,14 +149,14 @@
     harness = RouterHarness(make_settings(), engines=3)
     node = harness.choice.engines["e0"]
     for _ in range(12):
-        for send in sends(harness.ask("long", wait=20.0, work=0.3)):
+        for send in sends(harness.submit("long", wait=20.0, work=0.3)):
             if send.engine != "e0":
-                harness.end(send, Outcome.OK)
+                harness.end_attempt(send, Outcome.OK)
         harness.now += 0.5
         for cancel in cancels(harness.sweep(harness.now)):
             lost = Send(cancel.id, "e0", 0.0)
-            for again in sends(harness.end(lost, Outcome.CANCELLED)):
-                harness.end(again, Outcome.OK)
+            for again in sends(harness.end_attempt(lost, Outcome.CANCELLED)):
+                harness.end_attempt(again, Outcome.OK)
     assert node.ejected_at is not None
 
 
@@ -164,7 +164,7 @@
     budget = AttemptBudget(window=10.0, floor=0.0, fraction=0.0)
     config = make_settings(balancers=100)
     harness = RouterHarness(replace(config, rules=replace(config.rules, attempt_budget=budget)), engines=3)
-    [send] = sends(harness.ask("long", wait=20.0, work=1.5, id="a"))
+    [send] = sends(harness.submit("long", wait=20.0, work=1.5, id="a"))
     for step in range(1, 40):
         harness.choice.engines[send.engine].heard_at = harness.now
         assert not cancels(harness.sweep(100.0 + step * 0.1))
@@ -172,28 +172,30 @@
 
 def test_what_waits_for_its_key_is_no_crowding() -> None:
     harness = RouterHarness(make_settings(classes=(SHORT, LONG, ORDERED), balancers=6), engines=1)
-    [first] = sends(harness.ask("load", wait=20.0, work=1.0, key="k", id="a"))
-    assert not harness.ask("load", wait=20.0, work=1.0, key="k", id="b")[1:]
+    [first] = sends(harness.submit("load", wait=20.0, work=1.0, key="k", id="a"))
+    assert not harness.submit("load", wait=20.0, work=1.0, key="k", id="b")[1:]
     assert harness.choice._load_factor() == 0.0 and harness.choice.backlog() == 0.0
-    assert not finals(harness.sweep(100.5))
-    assert [s.id for s in sends(harness.end(first, Outcome.OK, work=1.0))] == ["b"]
+    assert not final_answers(harness.sweep(100.5))
+    assert [s.id for s in sends(harness.end_attempt(first, Outcome.OK, work=1.0))] == ["b"]
 
 
 def test_what_cannot_end_behind_its_key_is_given_up_at_once() -> None:
     harness = RouterHarness(make_settings(classes=(SHORT, LONG, ORDERED)), engines=1)
-    harness.ask("load", wait=20.0, work=24.0, key="k", id="a")
-    assert [a.id for a in finals(harness.ask("load", wait=15.0, work=10.0, key="k", id="b"))] == ["b"]
+    harness.submit("load", wait=20.0, work=24.0, key="k", id="a")
+    assert [a.id for a in final_answers(harness.submit("load", wait=15.0, work=10.0, key="k", id="b"))] == [
+        "b"
+    ]
 
 
 def test_a_part_below_one_long_query_is_kept_on_average() -> None:
     harness = RouterHarness(make_settings(balancers=100), engines=6)
     harness.choice.lasting_slowdown = 3.0
-    [send] = sends(harness.ask("long", wait=20.0, work=1.0, id="a"))
-    assert not sends(harness.ask("long", wait=20.0, work=1.0, id="b"))
+    [send] = sends(harness.submit("long", wait=20.0, work=1.0, id="a"))
+    assert not sends(harness.submit("long", wait=20.0, work=1.0, id="b"))
     harness.now += 3.0
-    harness.end(send, Outcome.OK, 3.0, work=1.0)
+    harness.end_attempt(send, Outcome.OK, 3.0, work=1.0)
     assert harness.choice.mean_long_threads > 0 and harness.choice.queues[1]
-    assert sends(harness.ask(work=0.1))  # a short one passes meanwhile
+    assert sends(harness.submit(work=0.1))  # a short one passes meanwhile
     assert any(sends(harness.sweep(103.0 + step)) for step in range(1, 9))
 
 
@@ -207,7 +209,7 @@
         harness.choice.memory_corrections[1].spread = 0.5
         harness.choice.memory_fill = fill
         [terms] = [
-            a for a in harness.ask("long", wait=20.0, work=1.0, memory_mb=100.0) if isinstance(a, SetTerms)
+            a for a in harness.submit("long", wait=20.0, work=1.0, memory_mb=100.0) if isinstance(a, SetTerms)
         ]
         assert terms.memory_mb is not None
         granted[fill] = terms.memory_mb
@@ -219,7 +221,7 @@
     for waits, priority in ((True, 3), (False, 1)):
         classes = (SHORT, replace(LONG, waits_for_loads=waits), LOAD)
         harness = RouterHarness(make_settings(classes=classes), engines=1)
-        [terms] = [a for a in harness.ask("load", wait=20.0, work=1.0) if isinstance(a, SetTerms)]
+        [terms] = [a for a in harness.submit("load", wait=20.0, work=1.0) if isinstance(a, SetTerms)]
         assert terms.priority == priority
 
 
@@ -227,14 +229,14 @@
     harness = RouterHarness(
         make_settings(progress_period=2.0, may_health_check=True, balancers=100), engines=2
     )
-    [send] = sends(harness.ask(work=0.1, id="a"))
-    harness.end(send, Outcome.OK, work=0.1)
+    [send] = sends(harness.submit(work=0.1, id="a"))
+    harness.end_attempt(send, Outcome.OK, work=0.1)
     assert (
-        not finals(harness.end(send, Outcome.ERROR)) and not harness.choice.queries
+        not final_answers(harness.end_attempt(send, Outcome.ERROR)) and not harness.choice.queries
     )  # the end is reported twice
     note(harness, send.engine, 0.1)  # on what is over, and on what never was
     note(harness, "nowhere", 0.0, id="b", attempt=7)
-    assert not harness.do(HealthCheckEnded("nowhere", 0.001, Outcome.OK))
-    harness.tell(Engine("odd", "unheard-of", weight=0.0), how=ListKind.CHANGES)
+    assert not harness.handle(HealthCheckEnded("nowhere", 0.001, Outcome.OK))
+    harness.receive_engine_list(Engine("odd", "unheard-of", weight=0.0), list_kind=ListKind.CHANGES)
     assert harness.choice.engines["odd"].cores == 8.0  # an unknown kind counts as the first one
-    assert {s.engine for _ in range(9) for s in sends(harness.ask(work=0.1))} >= {"odd"}
+    assert {s.engine for _ in range(9) for s in sends(harness.submit(work=0.1))} >= {"odd"}
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -29,10 +29,10 @@
 def test_nothing_stays_of_data_sets_that_were_locked_once() -> None:
     harness = RouterHarness(make_settings(classes=(replace(SHORT, waits_for_loads=True), LOAD)))
     for number in range(200):
-        for send in sends(harness.ask(data_set=number, work=0.01)):
+        for send in sends(harness.submit(data_set=number, work=0.01)):
             for _ in cancels(harness.sweep(harness.now + 0.35)):
-                harness.do(ClientDisconnected(send.id))
-                harness.end(send, Outcome.CANCELLED)
+                harness.handle(ClientDisconnected(send.id))
+                harness.end_attempt(send, Outcome.CANCELLED)
         harness.now += 2.0
     held = [len(node.locked_until) for node in harness.choice.engines.values()]
     assert sum(held) and max(held) <= 2
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from conftest import LONG, SHORT, RouterHarness, cancels, finals, make_settings, sends
+from conftest import LONG, SHORT, RouterHarness, cancels, final_answers, make_settings, sends
 
 from grebeproxy import Settings
 from grebeproxy.policy.lifecycle import SUSPECT_SILENCE, STALLS_TO_SUSPECT
@@ -24,100 +24,100 @@
     counts = {f"e{i}": 0 for i in range(4)}
     for _ in range(80):
         harness.now += 0.02
-        pending = sends(harness.ask(work=0.1))
+        pending = sends(harness.submit(work=0.1))
         while pending:
             send = pending.pop()
             counts[send.engine] += 1
             bad = send.engine == "e0"
             outcome = Outcome.ERROR if bad else Outcome.OK
-            pending += sends(harness.end(send, outcome, work=None if bad else 0.1))
+            pending += sends(harness.end_attempt(send, outcome, work=None if bad else 0.1))
     assert counts["e0"] < counts["e1"] / 2
 
 
 def test_a_fault_common_to_all_ejects_nobody_beyond_half(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=6)
     for _ in range(60):
-        for send in sends(harness.ask(work=0.1)):
-            harness.end(send, Outcome.ERROR)
+        for send in sends(harness.submit(work=0.1)):
+            harness.end_attempt(send, Outcome.ERROR)
     assert sum(e.ejected_at is None for e in harness.choice.engines.values()) >= 3
 
 
 def test_a_silent_engine_is_left_and_its_queries_go_elsewhere(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=3)
-    [send] = sends(harness.ask(work=0.05, id="a"))
+    [send] = sends(harness.submit(work=0.05, id="a"))
     for step in range(1, 20):
         actions = harness.sweep(100.0 + step * 0.05)
         if cancels(actions):
             break
     assert [c.id for c in cancels(actions)] == ["a"] and harness.now < 100.9
-    [again] = sends(harness.end(send, Outcome.CANCELLED))
+    [again] = sends(harness.end_attempt(send, Outcome.CANCELLED))
     assert again.engine != send.engine
 
 
 def test_progress_notes_keep_an_engine_in_service() -> None:
     harness = RouterHarness(make_settings(progress_period=0.5, max_attempts=1), engines=3)
-    [send] = sends(harness.ask("long", wait=20.0, work=1.0, id="a"))
+    [send] = sends(harness.submit("long", wait=20.0, work=1.0, id="a"))
     for step in range(1, 100):
-        harness.do(Progress("a", send.engine, 0, ProgressKind.FRACTION_DONE, 0.01 * step))
+        harness.handle(Progress("a", send.engine, 0, ProgressKind.FRACTION_DONE, 0.01 * step))
         assert not cancels(harness.sweep(100.0 + step * 0.1))
 
 
 def test_an_ejected_engine_comes_back_by_a_single_trial(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=2)
-    [send] = sends(harness.ask(work=0.1))
-    harness.end(send, Outcome.CONNECT_FAILED)
+    [send] = sends(harness.submit(work=0.1))
+    harness.end_attempt(send, Outcome.CONNECT_FAILED)
     lost = send.engine
     harness.now += 5.0
-    tried = [s for _ in range(6) for s in sends(harness.ask(work=0.1)) if s.engine == lost]
+    tried = [s for _ in range(6) for s in sends(harness.submit(work=0.1)) if s.engine == lost]
     assert len(tried) == 1
-    harness.end(tried[0], Outcome.OK, work=0.1)
-    assert [s for _ in range(6) for s in sends(harness.ask(work=0.1)) if s.engine == lost]
+    harness.end_attempt(tried[0], Outcome.OK, work=0.1)
+    assert [s for _ in range(6) for s in sends(harness.submit(work=0.1)) if s.engine == lost]
 
 
 def test_a_full_rejection_shuts_the_engine_for_a_while(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=1)
-    [send] = sends(harness.ask(work=0.1))
-    assert not sends(harness.end(send, Outcome.FULL))
+    [send] = sends(harness.submit(work=0.1))
+    assert not sends(harness.end_attempt(send, Outcome.FULL))
     assert sends(harness.sweep(100.2))
     assert harness.choice._under_pressure(harness.choice.engines["e0"])
 
 
 def test_a_time_out_at_an_engine_that_answers_others_is_no_fault(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=3)
-    [slow] = sends(harness.ask(work=0.1, id="slow", data_set=1))
-    [quick] = sends(harness.ask(work=0.1, id="quick", data_set=1))
+    [slow] = sends(harness.submit(work=0.1, id="slow", data_set=1))
+    [quick] = sends(harness.submit(work=0.1, id="quick", data_set=1))
     assert quick.engine == slow.engine
     harness.now += 0.5
-    harness.end(quick, Outcome.OK, work=0.1)
-    harness.end(slow, Outcome.TIMEOUT)
+    harness.end_attempt(quick, Outcome.OK, work=0.1)
+    harness.end_attempt(slow, Outcome.TIMEOUT)
     assert harness.choice.engines[slow.engine].fault_rate == 0.0
 
 
 def test_a_long_overload_does_not_become_normal(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=1)
     for step in range(300):
-        for send in sends(harness.ask(work=0.1)) or sends(harness.sweep(100.0 + step)):
-            harness.end(send, Outcome.OK, 0.8, work=0.1)
+        for send in sends(harness.submit(work=0.1)) or sends(harness.sweep(100.0 + step)):
+            harness.end_attempt(send, Outcome.OK, 0.8, work=0.1)
     assert harness.choice._under_pressure(harness.choice.engines["e0"])
 
 
 def test_what_an_engines_memory_cannot_take_stays_queued() -> None:
     harness = RouterHarness(make_settings(kinds=(EngineKind("medium", 8.0, 1000.0),)), engines=1)
-    sent = [s for _ in range(5) for s in sends(harness.ask("long", wait=20.0, work=1.0, memory_mb=400.0))]
+    sent = [s for _ in range(5) for s in sends(harness.submit("long", wait=20.0, work=1.0, memory_mb=400.0))]
     assert len(sent) == 2
-    assert len(sends(harness.end(sent[0], Outcome.OK, work=1.0))) == 1
+    assert len(sends(harness.end_attempt(sent[0], Outcome.OK, work=1.0))) == 1
 
 
 def test_a_lookup_whose_aim_has_passed_frees_its_engine() -> None:
     harness = RouterHarness(make_settings(max_attempts=1), engines=1)
-    harness.ask(work=0.1, id="a")
+    harness.submit(work=0.1, id="a")
     node = harness.choice.engines["e0"]
     for step in range(1, 40):
         node.heard_at = harness.now
         actions = harness.sweep(100.0 + step * 0.05)
-        if finals(actions):
+        if final_answers(actions):
             break
-    assert [a.id for a in finals(actions)] == [c.id for c in cancels(actions)] == ["a"]
+    assert [a.id for a in final_answers(actions)] == [c.id for c in cancels(actions)] == ["a"]
     assert 101.0 < harness.now < 102.0
 
 
@@ -125,27 +125,27 @@
     for marked in (True, False):
         harness = RouterHarness(make_settings(), engines=0)
         for _ in range(5):
-            harness.ask(wait=3.6, work=0.1)  # first tries have nine tenths of the deadline
-        harness.ask(wait=3.4, work=0.1, id="repeat", is_client_retry=marked)
+            harness.submit(wait=3.6, work=0.1)  # first tries have nine tenths of the deadline
+        harness.submit(wait=3.4, work=0.1, id="repeat", is_client_retry=marked)
         assert abs(harness.choice.queries["repeat"].arrived_at - 99.4) < 1e-6
 
 
 def test_traffic_over_quota_is_rejected_first_when_others_would_wait() -> None:
     tenants = (Tenant("a", 5.0), Tenant("b", 5.0))
     harness = RouterHarness(make_settings(tenants=tenants, over_quota_weight=0.05), engines=1)
-    calm = [finals(harness.ask(work=0.1, tenant="a")) for _ in range(10)]
+    calm = [final_answers(harness.submit(work=0.1, tenant="a")) for _ in range(10)]
     assert not any(calm)
     harness.choice.engines["e0"].closed_until = 200.0
     for _ in range(3):
-        assert not finals(harness.ask(work=0.1, tenant="b"))
-    crowded = [bool(finals(harness.ask(work=0.01, tenant=t))) for t in ("a", "b", "a")]
+        assert not final_answers(harness.submit(work=0.1, tenant="b"))
+    crowded = [bool(final_answers(harness.submit(work=0.01, tenant=t))) for t in ("a", "b", "a")]
     assert crowded == [True, False, True]
 
 
 def test_traffic_over_quota_is_sent_after_what_is_within() -> None:
     harness = RouterHarness(make_settings(tenants=(Tenant("a", 1.0),), over_quota_weight=0.05), engines=1)
     harness.choice.engines["e0"].closed_until = 100.5
-    harness.ask(work=0.1, tenant="a", id="within")
+    harness.submit(work=0.1, tenant="a", id="within")
     harness.choice.now = 101.0
     jobs = harness.choice.queries
     jobs["within"].over_quota, before = True, harness.choice._priority(jobs["within"], 0.0)
@@ -156,8 +156,8 @@
     harness = RouterHarness(settings, engines=1)
     harness.choice.engines["e0"].closed_until = 200.0
     for i, work in enumerate((2.0, 30.0, 3.0, 4.0)):
-        harness.ask("long", wait=20.0, work=work, id=f"q{i}")
-    refused = [a.id for a in finals(harness.sweep(100.1))]
+        harness.submit("long", wait=20.0, work=work, id=f"q{i}")
+    refused = [a.id for a in final_answers(harness.sweep(100.1))]
     assert refused[0] == "q1"
     assert "q0" in harness.choice.queries
 
@@ -165,9 +165,9 @@
 def test_estimates_follow_the_work_that_answers_report(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=2)
     for _ in range(40):
-        [send] = sends(harness.ask(work=0.1))
-        harness.end(send, Outcome.OK, 0.3, work=0.3)
-    harness.ask(work=0.1, id="x")
+        [send] = sends(harness.submit(work=0.1))
+        harness.end_attempt(send, Outcome.OK, 0.3, work=0.3)
+    harness.submit(work=0.1, id="x")
     assert 0.25 < harness.choice.queries["x"].work < 0.35
 
 
@@ -177,7 +177,7 @@
     terms = [
         a
         for cls in ("short", "long")
-        for a in harness.ask(cls, work=0.1, memory_mb=100.0)
+        for a in harness.submit(cls, work=0.1, memory_mb=100.0)
         if isinstance(a, SetTerms)
     ]
     assert terms[0].priority > terms[1].priority
@@ -188,38 +188,38 @@
     harness = RouterHarness(
         make_settings(may_cancel=False, classes=(SHORT, replace(LONG, priority_weight=2.0))), engines=1
     )
-    [short] = sends(harness.ask(work=0.1))
-    [long] = sends(harness.ask("long", wait=20.0, work=0.3))
+    [short] = sends(harness.submit(work=0.1))
+    [long] = sends(harness.submit("long", wait=20.0, work=0.3))
     assert short.until == 104.0 and long.until == 120.0
 
 
 def test_a_retry_spends_nothing_of_its_tenants_quota() -> None:
     harness = RouterHarness(make_settings(tenants=(Tenant("a", 3.0),), over_quota_weight=0.05), engines=1)
-    harness.ask(work=0.1, tenant="a")
+    harness.submit(work=0.1, tenant="a")
     for _ in range(5):
-        harness.ask(work=0.1, tenant="a", wait=3.0, is_client_retry=True)
-    harness.ask(work=0.1, tenant="a", id="second")
+        harness.submit(work=0.1, tenant="a", wait=3.0, is_client_retry=True)
+    harness.submit(work=0.1, tenant="a", id="second")
     assert not harness.choice.queries["second"].over_quota
 
 
 def test_errors_of_queries_that_no_engine_can_use_eject_nobody() -> None:
     harness = RouterHarness(make_settings(), engines=3)
     for number in range(30):
-        [send] = sends(harness.ask(id=f"bad{number}"))
-        while again := sends(harness.end(send, Outcome.ERROR)):
+        [send] = sends(harness.submit(id=f"bad{number}"))
+        while again := sends(harness.end_attempt(send, Outcome.ERROR)):
             [send] = again
     assert all(node.ejected_at is None for node in harness.choice.engines.values())
 
 
 def test_errors_of_queries_that_another_engine_answers_eject() -> None:
     harness = RouterHarness(make_settings(), engines=3)
-    [send] = sends(harness.ask())
+    [send] = sends(harness.submit())
     faulty = send.engine
     for _ in range(4):
         while send.engine == faulty:
-            [send] = sends(harness.end(send, Outcome.ERROR))
-        harness.end(send, Outcome.OK)
-        [send] = sends(harness.ask())
+            [send] = sends(harness.end_attempt(send, Outcome.ERROR))
+        harness.end_attempt(send, Outcome.OK)
+        [send] = sends(harness.submit())
     assert harness.choice.engines[faulty].ejected_at is not None
 
 
@@ -228,11 +228,11 @@
     node = harness.choice.engines["e0"]
     for number in range(STALLS_TO_SUSPECT):
         node.cached_data_sets[number] = None  # draws the query here
-        [send] = sends(harness.ask(data_set=number, work=0.01))
+        [send] = sends(harness.submit(data_set=number, work=0.01))
         assert send.engine == "e0"
         assert [c.id for c in cancels(harness.sweep(harness.now + 0.35))] == [send.id]
-        [again] = sends(harness.end(send, Outcome.CANCELLED, 0.35))
-        harness.end(again, Outcome.OK, 0.01)
+        [again] = sends(harness.end_attempt(send, Outcome.CANCELLED, 0.35))
+        harness.end_attempt(again, Outcome.OK, 0.01)
     harness.sweep(harness.now + 0.01)
     assert (
         node.stalled_queries == STALLS_TO_SUSPECT and node.ejected_at is None
@@ -243,23 +243,23 @@
 
 def test_a_connection_that_ends_is_one_fault_however_many_were_out_on_it(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=3)
-    out = [send for _ in range(12) for send in sends(harness.ask("long", wait=20.0, work=0.1))]
+    out = [send for _ in range(12) for send in sends(harness.submit("long", wait=20.0, work=0.1))]
     lost = [send for send in out if send.engine == "e0"]
     node = harness.choice.engines["e0"]
     harness.now += 0.1
     for send in lost:
-        harness.end(send, Outcome.RESET)
+        harness.end_attempt(send, Outcome.RESET)
     assert len(lost) == 4 and node.ejected_at is None
     assert not cancels(harness.sweep(100.11))  # and what runs elsewhere runs on
 
 
 def test_what_was_out_before_an_ejection_does_not_lengthen_it(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=3)
-    out = [send for _ in range(9) for send in sends(harness.ask("long", wait=20.0, work=0.1))]
+    out = [send for _ in range(9) for send in sends(harness.submit("long", wait=20.0, work=0.1))]
     failed, *late = [send for send in out if send.engine == "e0"]
     node = harness.choice.engines["e0"]
-    harness.end(failed, Outcome.CONNECT_FAILED)
+    harness.end_attempt(failed, Outcome.CONNECT_FAILED)
     backoff = node.ejection_backoff
     for send in late:
-        harness.end(send, Outcome.TIMEOUT, 2.0)
+        harness.end_attempt(send, Outcome.TIMEOUT, 2.0)
     assert late and node.ejected_at is not None and node.ejection_backoff == backoff
--- a/tests/test_late_decisions.py
+++ b/tests/test_late_decisions.py
@@ -107,12 +107,12 @@
     for number in range(20):
         received_at = harness.now - 0.03 * (number % 2)
         request = api.Query(f"q{number}", "short", received_at + 3.6, tenant="a", work=0.1)
-        harness.do(replace(request, received_at=received_at))
+        harness.handle(replace(request, received_at=received_at))
     assert [harness.choice.queries[f"q{number}"].over_quota for number in (0, 18, 19)] == [False, True, True]
 
 
 def test_the_simulator_s_clients_that_mark_retries_have_first_attempts_whatever_time_is_left() -> None:
     harness = RouterHarness(make_settings(clients_mark_retries=True), engines=0)
     for left in (3.6, 3.6, 3.6, 3.4):  # the last one waited for its batch
-        harness.ask(wait=left, work=0.1, id=f"left {left}")
+        harness.submit(wait=left, work=0.1, id=f"left {left}")
     assert harness.choice.queries["left 3.4"].arrived_at == harness.now
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import Any
 
-from conftest import LOAD, LONG, SHORT, RouterHarness, cancels, finals, make_settings, sends
+from conftest import LOAD, LONG, SHORT, RouterHarness, cancels, final_answers, make_settings, sends
 
 from grebeproxy import Settings
 from grebeproxy.policy.interface import AttemptEnded, Outcome, Query
@@ -55,7 +55,7 @@
     harness = RouterHarness(settings, engines=0)
     seen = []
     for _ in range(200):
-        harness.ask(work=0.1)
+        harness.submit(work=0.1)
         seen.append(harness.choice._load_factor())
     assert seen[0] < 1e-9 and seen[-1] == 1.0
     assert seen == sorted(seen)
@@ -68,38 +68,38 @@
         for node in harness.choice.engines.values():
             node.closed_until = harness.now + 10.0
     for _ in range(3):
-        light.ask(work=0.1)
-        heavy.ask("long", wait=20.0, work=9.0)
+        light.submit(work=0.1)
+        heavy.submit("long", wait=20.0, work=9.0)
     assert heavy.choice._load_factor() > light.choice._load_factor()
 
 
 def test_the_bound_binds_only_under_pressure(settings: Settings) -> None:
     calm, crowded = RouterHarness(settings, engines=1), RouterHarness(settings, engines=1)
-    crowded.crowd()
+    crowded.put_engines_under_pressure()
     sent = {"calm": 0, "crowded": 0}
     for _ in range(40):
-        sent["calm"] += len(sends(calm.ask(work=0.1)))
-        sent["crowded"] += len(sends(crowded.ask(work=0.1)))
+        sent["calm"] += len(sends(calm.submit(work=0.1)))
+        sent["crowded"] += len(sends(crowded.submit(work=0.1)))
     assert sent["calm"] == 40
     assert 8 <= sent["crowded"] < 40
 
 
 def test_long_classes_stop_before_short_ones(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=1)
-    harness.crowd()
+    harness.put_engines_under_pressure()
     for _ in range(20):
-        harness.ask("long", wait=20.0, work=0.3)
+        harness.submit("long", wait=20.0, work=0.3)
     node = harness.choice.engines["e0"]
     assert node.long_threads == node.threads > 0
-    assert len(sends(harness.ask(work=0.1))) == 1
+    assert len(sends(harness.submit(work=0.1))) == 1
 
 
 def test_the_bound_is_this_routers_share() -> None:
     counts = []
     for balancers in (1, 4):
         harness = RouterHarness(make_settings(balancers=balancers), engines=1)
-        harness.crowd()
-        counts.append(sum(len(sends(harness.ask(work=0.1))) for _ in range(60)))
+        harness.put_engines_under_pressure()
+        counts.append(sum(len(sends(harness.submit(work=0.1))) for _ in range(60)))
     assert counts[0] >= 3 * counts[1]
 
 
@@ -108,24 +108,24 @@
     node = harness.choice.engines["e0"]
     for latency, pressed in ((0.2, False), (5.0, True)):
         for _ in range(8):
-            [send] = sends(harness.ask("long", wait=20.0, work=0.6))
-            harness.end(send, Outcome.OK, latency, work=0.6)
+            [send] = sends(harness.submit("long", wait=20.0, work=0.6))
+            harness.end_attempt(send, Outcome.OK, latency, work=0.6)
         assert harness.choice._under_pressure(node) is pressed
 
 
 def test_rejecting_for_slowness_ends_when_nothing_is_in_flight(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=1)
     for _ in range(30):
-        for send in sends(harness.ask(work=0.2)):
-            harness.end(send, Outcome.OK, 5.0, work=0.2)
-    assert not sends(harness.ask(work=0.2))
+        for send in sends(harness.submit(work=0.2)):
+            harness.end_attempt(send, Outcome.OK, 5.0, work=0.2)
+    assert not sends(harness.submit(work=0.2))
     harness.now += 8.0
-    assert sends(harness.ask(work=0.2))
+    assert sends(harness.submit(work=0.2))
 
 
 def test_fewest_threads_per_core_is_the_default_choice(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=4)
-    used = {send.engine for _ in range(4) for send in sends(harness.ask("long", wait=20.0, work=2.0))}
+    used = {send.engine for _ in range(4) for send in sends(harness.submit("long", wait=20.0, work=2.0))}
     assert used == {"e0", "e1", "e2", "e3"}
 
 
@@ -133,34 +133,34 @@
     harness = RouterHarness(settings, engines=4)
     used = set()
     for _ in range(6):
-        [send] = sends(harness.ask(work=0.1, data_set=3))
+        [send] = sends(harness.submit(work=0.1, data_set=3))
         used.add(send.engine)
-        harness.end(send, Outcome.OK, work=0.1)
+        harness.end_attempt(send, Outcome.OK, work=0.1)
     assert len(used) == 1
 
 
 def test_routers_agree_on_a_data_sets_engine_without_talking(settings: Settings) -> None:
     first, second = (RouterHarness(make_settings(balancers=2, index=i), engines=5) for i in (0, 1))
     for data_set in range(8):
-        [one] = sends(first.ask(work=0.1, data_set=data_set))
-        [two] = sends(second.ask(work=0.1, data_set=data_set))
+        [one] = sends(first.submit(work=0.1, data_set=data_set))
+        [two] = sends(second.submit(work=0.1, data_set=data_set))
         assert one.engine == two.engine
-        first.end(one, Outcome.OK, work=0.1)
-        second.end(two, Outcome.OK, work=0.1)
+        first.end_attempt(one, Outcome.OK, work=0.1)
+        second.end_attempt(two, Outcome.OK, work=0.1)
 
 
 def test_two_loads_of_a_data_set_go_to_different_engines(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=3)
-    engines = [sends(harness.ask("load", wait=20.0, work=2.0, data_set=1))[0].engine for _ in range(2)]
+    engines = [sends(harness.submit("load", wait=20.0, work=2.0, data_set=1))[0].engine for _ in range(2)]
     assert len(set(engines)) == 2
 
 
 def test_an_event_for_an_unknown_or_finished_query_is_ignored(settings: Settings) -> None:
     harness = RouterHarness(settings)
-    [send] = sends(harness.ask(id="a"))
-    harness.end(send, Outcome.OK, work=0.1)
-    assert not sends(harness.do(AttemptEnded("a", send.engine, 0, Outcome.ERROR, 0.1)))
-    assert not finals(harness.do(AttemptEnded("never", "e0", 0, Outcome.TIMEOUT, 0.1)))
+    [send] = sends(harness.submit(id="a"))
+    harness.end_attempt(send, Outcome.OK, work=0.1)
+    assert not sends(harness.handle(AttemptEnded("a", send.engine, 0, Outcome.ERROR, 0.1)))
+    assert not final_answers(harness.handle(AttemptEnded("never", "e0", 0, Outcome.TIMEOUT, 0.1)))
 
 
 def test_same_events_give_same_actions(settings: Settings) -> None:
@@ -170,10 +170,10 @@
         for i in range(60):
             harness.now += 0.05
             cls = ("short", "long", "load")[i % 3]
-            actions = harness.ask(cls, wait=4.0, work=0.3 * (i % 4 + 1), data_set=i % 7)
+            actions = harness.submit(cls, wait=4.0, work=0.3 * (i % 4 + 1), data_set=i % 7)
             log.extend(actions)
             for send in sends(actions)[:1]:
-                log.extend(harness.end(send, (Outcome.OK, Outcome.ERROR)[i % 2], work=0.5))
+                log.extend(harness.end_attempt(send, (Outcome.OK, Outcome.ERROR)[i % 2], work=0.5))
         return log
 
     assert play() == play()
@@ -194,9 +194,9 @@
 
 def test_short_work_keeps_away_from_the_engine_whose_load_holds_its_data_set() -> None:
     harness = waiting()
-    load = sends(harness.ask("load", wait=20.0, data_set=7))[0]
+    load = sends(harness.submit("load", wait=20.0, data_set=7))[0]
     for _ in range(3):  # also when that engine has fewer of our threads
-        assert sends(harness.ask("short", data_set=7))[0].engine != load.engine
+        assert sends(harness.submit("short", data_set=7))[0].engine != load.engine
 
 
 def test_routers_keep_loads_of_a_data_set_apart_from_what_would_wait_for_them() -> None:
@@ -207,8 +207,10 @@
             harness.now += 0.2
             data_set = number % 3
             cls = "load" if number // 3 % 2 else "short"
-            [send] = sends(harness.ask(cls, wait=4.0, data_set=data_set, work=0.4 if cls == "load" else 0.1))
-            harness.end(send, Outcome.OK, work=0.4 if cls == "load" else 0.1)
+            [send] = sends(
+                harness.submit(cls, wait=4.0, data_set=data_set, work=0.4 if cls == "load" else 0.1)
+            )
+            harness.end_attempt(send, Outcome.OK, work=0.4 if cls == "load" else 0.1)
             if number >= 30:  # by then it has seen how many loads there are
                 went.setdefault((data_set, cls), set()).add(send.engine)
     for data_set in range(3):
@@ -223,8 +225,8 @@
         harness = RouterHarness(waiting_settings(balancers=3, index=index), engines=5)
         for _ in range(40):
             harness.now += 0.3
-            [send] = sends(harness.ask("load", wait=4.0, data_set=7, work=0.8))
-            harness.end(send, Outcome.OK, work=0.8)
+            [send] = sends(harness.submit("load", wait=4.0, data_set=7, work=0.8))
+            harness.end_attempt(send, Outcome.OK, work=0.8)
             harness.choice.engines[send.engine].cached_data_sets.clear()
         assert harness.choice._home_engines(7)[0] == 4.0
         first.add(send.engine)
@@ -233,15 +235,15 @@
 
 def test_a_router_that_sees_all_loads_spreads_them() -> None:
     harness = RouterHarness(waiting_settings(), engines=3)
-    loads = [sends(harness.ask("load", wait=20.0, work=0.4, data_set=7))[0].engine for _ in range(3)]
+    loads = [sends(harness.submit("load", wait=20.0, work=0.4, data_set=7))[0].engine for _ in range(3)]
     assert len(set(loads)) == 3
 
 
 def test_short_work_that_stalls_goes_elsewhere_and_what_follows_keeps_away() -> None:
     harness = waiting()
-    first = sends(harness.ask("short", data_set=7, work=0.01))[0]
+    first = sends(harness.submit("short", data_set=7, work=0.01))[0]
     assert cancels(harness.sweep(harness.now + 0.2)) == []
     assert [c.id for c in cancels(harness.sweep(harness.now + 0.2))] == [first.id]
-    again = sends(harness.end(first, Outcome.CANCELLED))
+    again = sends(harness.end_attempt(first, Outcome.CANCELLED))
     assert [a.engine != first.engine for a in again] == [True]
-    assert sends(harness.ask("short", data_set=7, work=0.01))[0].engine == again[0].engine
+    assert sends(harness.submit("short", data_set=7, work=0.01))[0].engine == again[0].engine
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import Any
 
-from conftest import LOAD, LONG, RULES, SHORT, RouterHarness, cancels, finals, make_settings, sends
+from conftest import LOAD, LONG, RULES, SHORT, RouterHarness, cancels, final_answers, make_settings, sends
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -46,39 +46,39 @@
 
 def test_a_queued_query_is_answered_before_it_is_due(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=0)
-    harness.ask("long", wait=5.0, id="a", work=0.1)
+    harness.submit("long", wait=5.0, id="a", work=0.1)
     answers, at = [], 100.0
     while at < 105.0:
         at += 0.05
-        answers += [(at, a) for a in finals(harness.sweep(at))]
+        answers += [(at, a) for a in final_answers(harness.sweep(at))]
     assert len(answers) == 1
     assert isinstance(answers[0][1], Reject) and answers[0][0] < 105.0
 
 
 def test_a_late_retry_with_little_time_left_is_answered_at_once(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=0)
-    assert [a.id for a in finals(harness.ask(wait=0.014, id="a", work=0.001))] == ["a"]
+    assert [a.id for a in final_answers(harness.submit(wait=0.014, id="a", work=0.001))] == ["a"]
 
 
 def test_what_cannot_end_in_time_is_given_up_at_once_with_advice(settings: Settings) -> None:
-    [answer] = finals(RouterHarness(settings).ask("long", wait=5.0, work=60.0))
+    [answer] = final_answers(RouterHarness(settings).submit("long", wait=5.0, work=60.0))
     assert isinstance(answer, Reject) and answer.retry_after is not None
     assert 0 < answer.retry_after <= 1.0
 
 
 def test_the_time_out_at_the_deadline_is_answered(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=1)
-    [send] = sends(harness.ask(id="a", work=0.1))
+    [send] = sends(harness.submit(id="a", work=0.1))
     harness.now += 4.0
-    assert len(finals(harness.end(send, Outcome.TIMEOUT))) == 1
+    assert len(final_answers(harness.end_attempt(send, Outcome.TIMEOUT))) == 1
     assert not harness.choice.queries
 
 
 def test_nothing_follows_when_the_client_has_left(settings: Settings) -> None:
     harness = RouterHarness(settings)
-    [send] = sends(harness.ask(id="a", work=0.1))
-    assert not harness.do(ClientDisconnected("a"))[1:]
-    assert not finals(harness.end(send, Outcome.ERROR)) and not harness.choice.queries
+    [send] = sends(harness.submit(id="a", work=0.1))
+    assert not harness.handle(ClientDisconnected("a"))[1:]
+    assert not final_answers(harness.end_attempt(send, Outcome.ERROR)) and not harness.choice.queries
 
 
 # 2: no effect twice
@@ -86,45 +86,45 @@
 
 def test_a_non_idempotent_query_is_not_retried_nor_rejected_once_it_may_have_run() -> None:
     harness = RouterHarness(only(ONCE), engines=3)
-    [send] = sends(harness.ask("once", wait=20.0, work=1.0))
-    actions = harness.end(send, Outcome.ERROR)
-    assert not sends(actions) and isinstance(finals(actions)[0], Fail)
+    [send] = sends(harness.submit("once", wait=20.0, work=1.0))
+    actions = harness.end_attempt(send, Outcome.ERROR)
+    assert not sends(actions) and isinstance(final_answers(actions)[0], Fail)
 
 
 def test_a_non_idempotent_query_is_retried_when_it_is_known_not_to_have_run() -> None:
     harness = RouterHarness(only(ONCE), engines=3)
-    [send] = sends(harness.ask("once", wait=20.0, work=1.0))
-    [again] = sends(harness.end(send, Outcome.CONNECT_FAILED))
+    [send] = sends(harness.submit("once", wait=20.0, work=1.0))
+    [again] = sends(harness.end_attempt(send, Outcome.CONNECT_FAILED))
     assert again.engine != send.engine
 
 
 def test_a_query_with_an_idempotency_key_is_retried_within_its_window_only() -> None:
     for waited, expected in ((1.0, 1), (11.0, 0)):
         harness = RouterHarness(only(LOAD), engines=3)
-        [send] = sends(harness.ask("load", wait=20.0, work=1.0))
+        [send] = sends(harness.submit("load", wait=20.0, work=1.0))
         harness.now += waited
-        actions = harness.end(send, Outcome.ERROR)
+        actions = harness.end_attempt(send, Outcome.ERROR)
         assert len(sends(actions)) == expected
-        assert len(finals(actions)) == 1 - expected
+        assert len(final_answers(actions)) == 1 - expected
 
 
 def test_a_key_by_zone_or_cell_stays_in_its_group_and_fails_rather_than_rejects() -> None:
     for scope in (Scope.ZONE, Scope.CELL):
         harness = RouterHarness(only(replace(LOAD, scope=scope), zones=("a", "b")), engines=0)
-        harness.tell(Engine("e0", "medium", "a", 0), Engine("e1", "medium", "b", 1))
-        [send] = sends(harness.ask("load", wait=8.0, work=1.0, id="x"))
-        harness.tell(
+        harness.receive_engine_list(Engine("e0", "medium", "a", 0), Engine("e1", "medium", "b", 1))
+        [send] = sends(harness.submit("load", wait=8.0, work=1.0, id="x"))
+        harness.receive_engine_list(
             replace(harness.choice.engines[send.engine].entry, state=EngineState.DRAINING),
-            how=ListKind.CHANGES,
+            list_kind=ListKind.CHANGES,
         )
-        assert not sends(harness.end(send, Outcome.ERROR))
-        ends = [a for i in range(100) for a in finals(harness.sweep(100.0 + i * 0.08))]
+        assert not sends(harness.end_attempt(send, Outcome.ERROR))
+        ends = [a for i in range(100) for a in final_answers(harness.sweep(100.0 + i * 0.08))]
         assert [type(a) for a in ends] == [Fail]
 
 
 def test_a_query_has_one_attempt_out_at_a_time(settings: Settings) -> None:
     harness = RouterHarness(settings, engines=3)
-    harness.ask(id="a", work=0.1)
+    harness.submit(id="a", work=0.1)
     assert not [s for i in range(40) for s in sends(harness.sweep(100.0 + i * 0.1)) if s.id == "a"]
 
 
@@ -134,20 +134,20 @@
 def test_nothing_goes_to_a_draining_or_gone_engine(settings: Settings) -> None:
     for state in (EngineState.DRAINING, EngineState.GONE):
         harness = RouterHarness(settings)
-        harness.tell(Engine("e0", "medium", state=state), how=ListKind.CHANGES)
-        assert {s.engine for _ in range(20) for s in sends(harness.ask(work=0.1))} == {"e1"}
+        harness.receive_engine_list(Engine("e0", "medium", state=state), list_kind=ListKind.CHANGES)
+        assert {s.engine for _ in range(20) for s in sends(harness.submit(work=0.1))} == {"e1"}
 
 
 def test_an_engine_absent_from_a_full_list_is_gone(settings: Settings) -> None:
     harness = RouterHarness(settings)
-    harness.tell(Engine("e1", "medium"))
-    assert {s.engine for _ in range(20) for s in sends(harness.ask(work=0.1))} == {"e1"}
+    harness.receive_engine_list(Engine("e1", "medium"))
+    assert {s.engine for _ in range(20) for s in sends(harness.submit(work=0.1))} == {"e1"}
 
 
 def test_a_failed_list_leaves_the_last_one_and_is_asked_again() -> None:
     harness = RouterHarness(make_settings(polls_engine_list=True, rules=replace(RULES, list_max_age=8.0)))
-    harness.do(EngineList(ListKind.FAILED))
-    assert sends(harness.ask(work=0.1))
+    harness.handle(EngineList(ListKind.FAILED))
+    assert sends(harness.submit(work=0.1))
     assert any(type(a).__name__ == "Watch" for a in harness.sweep(103.0))
 
 
@@ -157,7 +157,7 @@
 def test_a_warming_engine_gets_no_more_than_its_budget() -> None:
     harness = RouterHarness(make_settings(balancers=2), engines=1, started=99.0)
     budget = RULES.overload_factor * RULES.slow_start_fraction * 8.0 * RULES.overload_time / 2
-    sent = sum(len(sends(harness.ask(work=0.5))) for _ in range(60))
+    sent = sum(len(sends(harness.submit(work=0.5))) for _ in range(60))
     for _ in range(9):
         sent += len(sends(harness.sweep(harness.now + 0.1)))
     assert 0 < 0.5 * sent <= budget
@@ -165,14 +165,16 @@
 
 def test_a_long_query_waits_for_a_warm_engine() -> None:
     harness = RouterHarness(make_settings(balancers=4), engines=0)
-    harness.tell(Engine("cold", "medium", started=99.0), Engine("warm", "medium"))
+    harness.receive_engine_list(Engine("cold", "medium", started=99.0), Engine("warm", "medium"))
     harness.choice.typical_work = [0.1, 9.0, 9.0]
-    assert {s.engine for _ in range(6) for s in sends(harness.ask("long", wait=20.0, work=2.0))} == {"warm"}
+    assert {s.engine for _ in range(6) for s in sends(harness.submit("long", wait=20.0, work=2.0))} == {
+        "warm"
+    }
 
 
 def test_an_engine_that_restarts_under_its_old_id_warms_up(settings: Settings) -> None:
     harness = RouterHarness(settings)
-    harness.tell(Engine("e0", "medium", started=99.5), how=ListKind.CHANGES)
+    harness.receive_engine_list(Engine("e0", "medium", started=99.5), list_kind=ListKind.CHANGES)
     assert harness.choice._warming_up(harness.choice.engines["e0"])
     assert not harness.choice._warming_up(harness.choice.engines["e1"])
 
@@ -181,10 +183,10 @@
     settings: Settings,
 ) -> None:
     harness = RouterHarness(settings, engines=1)
-    [send] = sends(harness.ask(work=0.1, id="a"))
-    harness.end(send, Outcome.CONNECT_FAILED)
-    [trial] = sends(harness.sweep(102.0)) or sends(harness.ask(work=0.1, id="b"))
-    harness.end(trial, Outcome.OK, work=0.1)
+    [send] = sends(harness.submit(work=0.1, id="a"))
+    harness.end_attempt(send, Outcome.CONNECT_FAILED)
+    [trial] = sends(harness.sweep(102.0)) or sends(harness.submit(work=0.1, id="b"))
+    harness.end_attempt(trial, Outcome.OK, work=0.1)
     assert harness.choice._warming_up(harness.choice.engines["e0"])
 
 
@@ -193,27 +195,27 @@
 
 def test_a_key_runs_one_at_a_time_in_order_and_moves_on_when_one_dies() -> None:
     harness = RouterHarness(only(ONCE), engines=3)
-    [first] = sends(harness.ask("once", wait=20.0, work=1.0, key="k", id="a"))
-    assert not sends(harness.ask("once", wait=20.0, work=1.0, key="k", id="b"))
-    assert not sends(harness.ask("once", wait=20.0, work=1.0, key="k", id="c"))
-    assert [s.id for s in sends(harness.ask("once", wait=20.0, work=1.0, key="other", id="d"))] == ["d"]
-    harness.do(ClientDisconnected("b"))
-    assert [s.id for s in sends(harness.end(first, Outcome.ERROR))] == ["c"]
+    [first] = sends(harness.submit("once", wait=20.0, work=1.0, key="k", id="a"))
+    assert not sends(harness.submit("once", wait=20.0, work=1.0, key="k", id="b"))
+    assert not sends(harness.submit("once", wait=20.0, work=1.0, key="k", id="c"))
+    assert [s.id for s in sends(harness.submit("once", wait=20.0, work=1.0, key="other", id="d"))] == ["d"]
+    harness.handle(ClientDisconnected("b"))
+    assert [s.id for s in sends(harness.end_attempt(first, Outcome.ERROR))] == ["c"]
 
 
 def test_a_client_that_left_still_blocks_its_key_while_its_attempt_is_out() -> None:
     harness = RouterHarness(only(ONCE), engines=3)
-    [first] = sends(harness.ask("once", wait=20.0, work=1.0, key="k", id="a"))
-    harness.do(ClientDisconnected("a"))
-    assert not sends(harness.ask("once", wait=20.0, work=1.0, key="k", id="b"))
-    assert [s.id for s in sends(harness.end(first, Outcome.RESET))] == ["b"]
+    [first] = sends(harness.submit("once", wait=20.0, work=1.0, key="k", id="a"))
+    harness.handle(ClientDisconnected("a"))
+    assert not sends(harness.submit("once", wait=20.0, work=1.0, key="k", id="b"))
+    assert [s.id for s in sends(harness.end_attempt(first, Outcome.RESET))] == ["b"]
 
 
 def test_a_key_rests_after_an_attempt_that_may_still_run() -> None:
     harness = RouterHarness(only(ONCE, rules=replace(RULES, key_settle_time=0.5)), engines=3)
-    [first] = sends(harness.ask("once", wait=20.0, work=1.0, key="k", id="a"))
-    assert not sends(harness.ask("once", wait=20.0, work=1.0, key="k", id="b"))
-    assert not sends(harness.end(first, Outcome.RESET))
+    [first] = sends(harness.submit("once", wait=20.0, work=1.0, key="k", id="a"))
+    assert not sends(harness.submit("once", wait=20.0, work=1.0, key="k", id="b"))
+    assert not sends(harness.end_attempt(first, Outcome.RESET))
     assert not sends(harness.sweep(100.4))
     assert [s.id for s in sends(harness.sweep(100.51))] == ["b"]
 
@@ -231,9 +233,9 @@
         ),
         engines=0,
     )
-    harness.tell(Engine("m", "medium", "a"), Engine("b-big", "big", "b"))
-    assert not sends(harness.ask("long", wait=20.0, work=1.0))
-    actions = harness.tell(Engine("a-big", "big", "a"), how=ListKind.CHANGES)
+    harness.receive_engine_list(Engine("m", "medium", "a"), Engine("b-big", "big", "b"))
+    assert not sends(harness.submit("long", wait=20.0, work=1.0))
+    actions = harness.receive_engine_list(Engine("a-big", "big", "a"), list_kind=ListKind.CHANGES)
     assert [s.engine for s in sends(actions)] == ["a-big"]
 
 
@@ -244,8 +246,8 @@
     rules = replace(RULES, attempt_budget=AttemptBudget(window=10.0, floor=1.0, fraction=0.1))
     harness = RouterHarness(make_settings(rules=rules), engines=30)
     for _ in range(10):
-        for send in sends(harness.ask(work=0.1)):
-            harness.end(send, Outcome.FULL)
+        for send in sends(harness.submit(work=0.1)):
+            harness.end_attempt(send, Outcome.FULL)
     assert harness.count == 10
     assert sum(harness.attempts.values()) == 2
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from conftest import LONG, SHORT, RouterHarness, finals, make_settings, sends
+from conftest import LONG, SHORT, RouterHarness, final_answers, make_settings, sends
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -43,14 +43,14 @@
     sent = 0
     for index in range(200):
         harness = harness_of(200, index, engines=1)
-        harness.crowd()
-        sent += sum(len(sends(harness.ask(work=0.1))) for _ in range(4))
+        harness.put_engines_under_pressure()
+        sent += sum(len(sends(harness.submit(work=0.1))) for _ in range(4))
     assert 0 < sent <= 16
 
 
 def test_no_pressure_no_bound_at_two_hundred_routers() -> None:
     harness = harness_of(200)
-    assert sum(len(sends(harness.ask("long", wait=20.0, work=2.0))) for _ in range(6)) == 6
+    assert sum(len(sends(harness.submit("long", wait=20.0, work=2.0))) for _ in range(6)) == 6
 
 
 def test_all_that_is_ours_is_bounded_while_the_engines_are_slow() -> None:
@@ -60,8 +60,8 @@
         slow.choice.fleet_slowdown = 4.0
         for node in slow.choice.engines.values():
             node.slowdown = 4.0
-        assert sum(len(sends(calm.ask("long", wait=20.0, work=2.0))) for _ in range(8)) == 8
-        sent.append(sum(len(sends(slow.ask("long", wait=20.0, work=2.0))) for _ in range(8)))
+        assert sum(len(sends(calm.submit("long", wait=20.0, work=2.0))) for _ in range(8)) == 8
+        sent.append(sum(len(sends(slow.submit("long", wait=20.0, work=2.0))) for _ in range(8)))
     assert max(sent) < 4 and sum(sent) > 5
 
 
@@ -70,20 +70,20 @@
     for node in harness.choice.engines.values():
         node.closed_until = harness.now + 100.0
     harness.choice.typical_work = [0.1, 3.5, 3.5]
-    assert not finals(harness.ask("long", wait=20.0, work=3.5))
-    assert not finals(harness.sweep(100.3))
+    assert not final_answers(harness.submit("long", wait=20.0, work=3.5))
+    assert not final_answers(harness.sweep(100.3))
 
 
 def test_slow_reports_do_not_make_a_short_query_late() -> None:
     harness = harness_of(200)
     for _ in range(10):
-        for send in sends(harness.ask("long", wait=20.0, work=0.9)):
-            harness.end(send, Outcome.OK, 3.0, work=0.9)
-    assert sends(harness.ask(work=0.4))
+        for send in sends(harness.submit("long", wait=20.0, work=0.9)):
+            harness.end_attempt(send, Outcome.OK, 3.0, work=0.9)
+    assert sends(harness.submit(work=0.4))
 
 
 def test_routers_spread_a_data_set_when_they_are_many() -> None:
-    used = {sends(harness_of(200, index).ask(work=0.1, data_set=3))[0].engine for index in range(60)}
+    used = {sends(harness_of(200, index).submit(work=0.1, data_set=3))[0].engine for index in range(60)}
     assert len(used) > FLEET / 2
 
 
@@ -92,8 +92,8 @@
     used = set()
     for index in range(40):
         harness = RouterHarness(make_settings(balancers=200, index=index, kinds=kinds), engines=0)
-        harness.tell(*(Engine(f"e{i}", ("medium", "big")[i % 2]) for i in range(10)))
-        used.add(sends(harness.ask(work=0.1, data_set=index))[0].engine)
+        harness.receive_engine_list(*(Engine(f"e{i}", ("medium", "big")[i % 2]) for i in range(10)))
+        used.add(sends(harness.submit(work=0.1, data_set=index))[0].engine)
     assert {int(name[1:]) % 2 for name in used} == {0, 1}
 
 
@@ -104,12 +104,12 @@
     for index in range(200):
         harness = RouterHarness(make_settings(balancers=200, index=index), engines=0)
         cold = Engine("e0", "medium", started=99.0)
-        harness.tell(cold, *(Engine(f"e{i}", "medium") for i in range(1, engines)))
+        harness.receive_engine_list(cold, *(Engine(f"e{i}", "medium") for i in range(1, engines)))
         harness.choice.typical_work, harness.choice.class_counts = [work] * 3, [50] * 3
         for name, node in harness.choice.engines.items():
             node.closed_until = harness.now + 100.0 if name != "e0" else 0.0
         for number in range(max(1, round(asked / work / 200))):
-            sent += work * len(sends(harness.ask(cls, wait=20.0, work=work, id=f"{index}-{number}")))
+            sent += work * len(sends(harness.submit(cls, wait=20.0, work=work, id=f"{index}-{number}")))
         for _ in range(9):
             sent += work * len(sends(harness.sweep(harness.now + 0.1)))  # over the window of the budget
     assert 0.5 < sent <= 2.0 * 0.37 * 8.0 * 1.0  # twice what it can do at the window's begin
@@ -118,8 +118,8 @@
 def test_a_router_that_just_started_sends_nothing_to_a_warming_engine() -> None:
     harness = RouterHarness(make_settings(), engines=0)
     harness.choice = Choice(make_settings(), harness.now, 1)
-    harness.tell(Engine("e0", "medium", started=99.0))
-    assert not sends(harness.ask(work=0.05))
+    harness.receive_engine_list(Engine("e0", "medium", started=99.0))
+    assert not sends(harness.submit(work=0.05))
 
 
 def test_chance_arrivals_within_a_small_quota_are_not_over_it() -> None:
@@ -127,20 +127,20 @@
         make_settings(balancers=100, tenants=(Tenant("a", 100.0),), over_quota_weight=0.05)
     )
     for i in range(3):
-        harness.ask(work=0.1, tenant="a", id=f"a{i}")
+        harness.submit(work=0.1, tenant="a", id=f"a{i}")
     assert not any(job.over_quota for job in harness.choice.queries.values())
 
 
 def test_what_comes_back_too_late_for_a_sweep_is_answered_at_once() -> None:
     harness = RouterHarness(make_settings(classes=(SHORT, LONG)), engines=3)
-    [send] = sends(harness.ask(work=0.05, wait=4.0))
+    [send] = sends(harness.submit(work=0.05, wait=4.0))
     harness.now += 3.8
-    assert finals(harness.end(send, Outcome.RESET))
+    assert final_answers(harness.end_attempt(send, Outcome.RESET))
 
 
 def test_there_is_always_a_timer_while_a_query_is_open() -> None:
     harness = RouterHarness(make_settings(), engines=3)
-    actions = harness.ask(work=0.05)
+    actions = harness.submit(work=0.05)
     for _ in range(20):
         [timer] = [a for a in actions if isinstance(a, SetTimer)]
         actions = harness.sweep(harness.now + timer.delay - 1e-7)
@@ -157,17 +157,17 @@
 
 def test_an_engine_that_is_late_with_what_is_out_is_left_before_it_answers() -> None:
     harness = harness_of(200, engines=3)
-    [send] = sends(harness.ask(work=0.1, data_set=1))
+    [send] = sends(harness.submit(work=0.1, data_set=1))
     harness.now += 0.35
-    [other] = sends(harness.ask(work=0.1, data_set=1))
+    [other] = sends(harness.submit(work=0.1, data_set=1))
     assert other.engine != send.engine
 
 
 def test_abandoned_attempts_show_a_slow_engine() -> None:
     harness = harness_of(200, engines=2)
-    [send] = sends(harness.ask("long", wait=20.0, work=0.9))
+    [send] = sends(harness.submit("long", wait=20.0, work=0.9))
     before = harness.choice.engines[send.engine].slowdown
-    harness.end(send, Outcome.CANCELLED, 5.0)
+    harness.end_attempt(send, Outcome.CANCELLED, 5.0)
     assert harness.choice.engines[send.engine].slowdown > before
 
 
@@ -175,12 +175,12 @@
     config = make_settings(balancers=200, load_report_fields=("memory_granted",))
     full, silent = RouterHarness(config, engines=2), RouterHarness(config, engines=2)
     for harness, report in ((full, {"memory_granted": 1.5}), (silent, None)):
-        [send] = sends(harness.ask(work=0.1, data_set=1))
-        harness.end(send, Outcome.OK, 0.1, work=0.1, load_report=report)
+        [send] = sends(harness.submit(work=0.1, data_set=1))
+        harness.end_attempt(send, Outcome.OK, 0.1, work=0.1, load_report=report)
         used = set()
         for _ in range(20):
-            [again] = sends(harness.ask(work=0.1, data_set=1))
-            harness.end(again, Outcome.OK, 0.1, work=0.1)
+            [again] = sends(harness.submit(work=0.1, data_set=1))
+            harness.end_attempt(again, Outcome.OK, 0.1, work=0.1)
             used.add(again.engine)
         assert (send.engine in used) is (report is None)
 
@@ -191,9 +191,9 @@
     for step in range(steps):
         harness.now += 0.2
         fields = popular if popular and step % 6 == 5 else {"cls": "short", "data_set": 100 + step}
-        for send in sends(harness.ask(work=0.3, **fields)):
+        for send in sends(harness.submit(work=0.3, **fields)):
             got[send.engine] += not popular or fields is popular
-            harness.end(send, Outcome.OK, 0.3, work=0.3)
+            harness.end_attempt(send, Outcome.OK, 0.3, work=0.3)
     return got
 
 
@@ -224,7 +224,9 @@
     for index in range(50):
         harness = harness_of(50, index)
         before = harness.choice.window_engines
-        harness.tell(Engine("e7", "medium", state=EngineState.GONE), how=ListKind.CHANGES)
+        harness.receive_engine_list(
+            Engine("e7", "medium", state=EngineState.GONE), list_kind=ListKind.CHANGES
+        )
         changed += len(harness.choice.window_engines - before)
     assert 0 < changed <= 2 * 50
 
@@ -238,9 +240,9 @@
         for second in range(10):
             for number, tenant in enumerate(asks):
                 harness.now += 1.0 / 12.0
-                for send in sends(harness.ask(work=0.1, tenant=tenant, id=f"{second}-{number}")):
+                for send in sends(harness.submit(work=0.1, tenant=tenant, id=f"{second}-{number}")):
                     over += second > 4 and harness.choice.queries[send.id].over_quota  # it takes some to tell
-                    harness.end(send, Outcome.OK, 0.1, work=0.1)
+                    harness.end_attempt(send, Outcome.OK, 0.1, work=0.1)
         found[name] = over, len(harness.choice.window_engines)
     assert found["all"][0] < 30 and found["all"][1] > 30  # of 60 queries, and of 34 engines
     assert found["one"][0] > 40 and found["one"][1] < 24
@@ -248,7 +250,7 @@
 
 def test_routers_with_the_same_seed_do_not_choose_alike() -> None:
     first = [
-        tuple(send.engine for _ in range(6) for send in sends(harness.ask(work=0.1)))
+        tuple(send.engine for _ in range(6) for send in sends(harness.submit(work=0.1)))
         for harness in (harness_of(200, index) for index in range(40))
     ]
     assert len(set(first)) == 40
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from conftest import LONG, SHORT, RouterHarness, finals, make_settings, sends
+from conftest import LONG, SHORT, RouterHarness, final_answers, make_settings, sends
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -40,7 +40,7 @@
 ) -> RouterHarness:
     settings = make_settings(balancers=balancers, index=index, **changes)
     harness = RouterHarness(settings, engines=0)
-    harness.tell(*(Engine(f"e{n}", "medium", ZONES[n % 6]) for n in range(engines)))
+    harness.receive_engine_list(*(Engine(f"e{n}", "medium", ZONES[n % 6]) for n in range(engines)))
     return harness
 
 
@@ -82,9 +82,11 @@
     for index in range(40):
         harness = harness_of(index)
         before = subset(harness)
-        harness.tell(Engine("e7", "medium", state=EngineState.GONE), how=ListKind.CHANGES)
+        harness.receive_engine_list(
+            Engine("e7", "medium", state=EngineState.GONE), list_kind=ListKind.CHANGES
+        )
         moved.append(len(subset(harness) - before))
-        harness.tell(Engine("e7", "medium", ZONES[1]), how=ListKind.CHANGES)
+        harness.receive_engine_list(Engine("e7", "medium", ZONES[1]), list_kind=ListKind.CHANGES)
         assert subset(harness) == before
     assert sum(moved) > 0 and max(moved) <= 2
 
@@ -109,8 +111,8 @@
     monkeypatch.setattr(Placement, "_cost", counted)
     harness = harness_of(engines=engines, balancers=2400)
     for _ in range(10):
-        [send] = sends(harness.ask(work=0.1))
-        harness.end(send, Outcome.OK, 0.1)
+        [send] = sends(harness.submit(work=0.1))
+        harness.end_attempt(send, Outcome.OK, 0.1)
     assert (
         weighed == 10 * MIN_WINDOW
         and len(harness.choice.engines) == len(harness.choice.usable_engines) == MIN_WINDOW
@@ -127,7 +129,9 @@
         return fits(self, entry)
 
     monkeypatch.setattr(HashRing, "fits", counted)
-    harness.tell(Engine("e5", "medium", state=EngineState.DRAINING), how=ListKind.CHANGES)
+    harness.receive_engine_list(
+        Engine("e5", "medium", state=EngineState.DRAINING), list_kind=ListKind.CHANGES
+    )
     assert set(looked) == {"e5"}
 
 
@@ -136,7 +140,7 @@
     zones = Counter(node.entry.zone for node in harness.choice.usable_engines)
     assert zones[ZONES[2]] >= MIN_WINDOW and MIN_WINDOW < sum(zones.values()) <= 2 * MIN_WINDOW
     small = RouterHarness(make_settings(balancers=ROUTERS, zones=ZONES, zone=ZONES[2]), engines=0)
-    small.tell(*(Engine(f"e{n}", "medium", ZONES[2 if n < 3 else 4]) for n in range(ENGINES)))
+    small.receive_engine_list(*(Engine(f"e{n}", "medium", ZONES[2 if n < 3 else 4]) for n in range(ENGINES)))
     assert {"e0", "e1", "e2"} <= subset(small) and len(subset(small)) >= MIN_WINDOW
 
 
@@ -145,20 +149,22 @@
     confined = replace(LONG, allowed_kinds=frozenset({"rare"}))
     settings = make_settings(balancers=ROUTERS, index=3, kinds=kinds, classes=(SHORT, confined))
     harness = RouterHarness(settings, engines=0)
-    harness.tell(*(Engine(f"e{n}", "rare" if n % 40 == 0 else "medium") for n in range(ENGINES)))
+    harness.receive_engine_list(
+        *(Engine(f"e{n}", "rare" if n % 40 == 0 else "medium") for n in range(ENGINES))
+    )
     rare = {engine for engine in subset(harness) if int(engine[1:]) % 40 == 0}
     assert len(rare) == ENGINES / 40  # all ten of them
-    [send] = sends(harness.ask("long", wait=20.0, work=0.5))
+    [send] = sends(harness.submit("long", wait=20.0, work=0.5))
     assert send.engine in rare
 
 
 def break_down(harness: RouterHarness, engines: set[str], way: str) -> None:
     """Makes engines of no use, as the list, operators, a restart or failing connections do."""
     if way == "by hand":
-        harness.do(ManualOverridesChanged(frozenset(engines)))
+        harness.handle(ManualOverridesChanged(frozenset(engines)))
     elif way == "cold":
         fresh = [Engine(name, "medium", started=harness.now) for name in sorted(engines)]
-        harness.tell(*fresh, how=ListKind.CHANGES)
+        harness.receive_engine_list(*fresh, list_kind=ListKind.CHANGES)
     else:
         for name in engines:
             harness.choice.engines[name].ejected_at = harness.now
@@ -173,14 +179,14 @@
     bad = set(order[: MIN_WINDOW * 3 // 4])
     break_down(harness, bad, way)
     for _ in range(4):
-        [send] = sends(harness.ask(work=0.1))
+        [send] = sends(harness.submit(work=0.1))
         assert send.engine not in bad or way == "cold"
-        harness.end(send, Outcome.OK, 0.1)
+        harness.end_attempt(send, Outcome.OK, 0.1)
     wider = {engine for engine, node in choice.engines.items() if node.in_subset}
     assert wider == set(order[: len(wider)]) and MIN_WINDOW < len(wider) <= (1 + MAX_EXTENSION) * MIN_WINDOW
     assert len(wider - bad) >= MIN_WINDOW / 2
     if way == "by hand":
-        harness.do(ManualOverridesChanged(frozenset()))
+        harness.handle(ManualOverridesChanged(frozenset()))
         harness.now += 60.0  # engines that operators give back warm up first
     elif way == "cold":
         harness.now += 60.0
@@ -188,8 +194,8 @@
         for name in bad:
             choice.engines[name].ejected_at = None
     for _ in range(8):
-        [send] = sends(harness.ask(work=0.1))
-        harness.end(send, Outcome.OK, 0.1)
+        [send] = sends(harness.submit(work=0.1))
+        harness.end_attempt(send, Outcome.OK, 0.1)
     assert subset(harness) == before
 
 
@@ -197,13 +203,13 @@
     harness = harness_of(5)
     order = harness.choice.rings[0].window(harness.choice.positions.own, 0, ENGINES)
     break_down(harness, set(order[: MIN_WINDOW // 2 + 1]), "ejected")
-    harness.ask(work=0.1)
-    harness.ask(work=0.1)
+    harness.submit(work=0.1)
+    harness.submit(work=0.1)
     wide = set(harness.choice.engines)
     assert len(wide) > MIN_WINDOW
     harness.choice.engines[order[0]].ejected_at = None  # one more than too few
     for _ in range(5):
-        harness.ask(work=0.1)
+        harness.submit(work=0.1)
     assert set(harness.choice.engines) >= wide
 
 
@@ -211,7 +217,7 @@
     harness = harness_of(5)
     for _ in range(40):
         break_down(harness, set(harness.choice.engines), "ejected")
-        harness.ask(work=0.1)
+        harness.submit(work=0.1)
     assert len(harness.choice.engines) <= (1 + MAX_EXTENSION) * MIN_WINDOW + MIN_WINDOW
 
 
@@ -235,10 +241,10 @@
 
 def test_an_engine_that_left_the_subset_is_followed_until_what_is_out_there_has_ended() -> None:
     harness = harness_of(5)
-    [send] = sends(harness.ask(work=0.1))
-    harness.do(SettingsChanged(make_settings(balancers=ROUTERS, index=105)))
+    [send] = sends(harness.submit(work=0.1))
+    harness.handle(SettingsChanged(make_settings(balancers=ROUTERS, index=105)))
     assert send.engine in harness.choice.engines and send.engine not in subset(harness)
-    assert not finals(harness.end(send, Outcome.OK, 0.1)) and not harness.choice.queries
+    assert not final_answers(harness.end_attempt(send, Outcome.OK, 0.1)) and not harness.choice.queries
     harness.sweep(harness.now + 0.3)
     assert send.engine not in harness.choice.engines
 
@@ -247,10 +253,10 @@
     harness = harness_of(5)
     outside = sorted(set(harness.choice.engine_list) - subset(harness))
     fresh = [Engine(name, "medium", started=harness.now) for name in outside]
-    harness.tell(*fresh, how=ListKind.CHANGES)
+    harness.receive_engine_list(*fresh, list_kind=ListKind.CHANGES)
     break_down(harness, subset(harness), "ejected")
-    harness.ask(work=0.1)
-    harness.ask(work=0.1)
+    harness.submit(work=0.1)
+    harness.submit(work=0.1)
     taken_in = [harness.choice.engines[name] for name in outside if name in harness.choice.engines]
     assert taken_in and all(harness.choice._warming_up(node) for node in taken_in)
 
@@ -258,9 +264,9 @@
 def test_few_routers_work_with_all_engines() -> None:
     harness = harness_of(1, engines=60, balancers=3)
     assert len(subset(harness)) == 60
-    harness.do(SettingsChanged(make_settings(balancers=ROUTERS, index=1)))
+    harness.handle(SettingsChanged(make_settings(balancers=ROUTERS, index=1)))
     assert len(subset(harness)) == MIN_WINDOW
-    harness.do(SettingsChanged(make_settings(balancers=3, index=1)))
+    harness.handle(SettingsChanged(make_settings(balancers=3, index=1)))
     assert len(subset(harness)) == 60
 
 
@@ -268,9 +274,9 @@
     harness = harness_of(5)
     for name in sorted(subset(harness))[:6]:
         state = EngineState.GONE if len(name) % 2 else EngineState.DRAINING
-        harness.tell(Engine(name, "medium", state=state), how=ListKind.CHANGES)
+        harness.receive_engine_list(Engine(name, "medium", state=state), list_kind=ListKind.CHANGES)
         assert name not in subset(harness) and len(subset(harness)) == MIN_WINDOW
         for _ in range(20):
-            out: list[Send] = sends(harness.ask(work=0.1))
+            out: list[Send] = sends(harness.submit(work=0.1))
             assert out and name not in {send.engine for send in out}
-            harness.end(out[0], Outcome.OK, 0.1)
+            harness.end_attempt(out[0], Outcome.OK, 0.1)
