--- a/grebeproxy/shapes/__init__.py
+++ b/grebeproxy/shapes/__init__.py
@@ -1,1 +1,1 @@
-"""What a statement says of itself: its tables, and its shape. No input or output, no clock."""
+"""Analysis of a statement's text: its table group and its shape. I/O-free and without a clock."""
--- a/grebeproxy/shapes/fingerprint.py
+++ b/grebeproxy/shapes/fingerprint.py
@@ -1,6 +1,7 @@
-"""The shape of a statement: what is left without literals, list lengths and the schema's number.
+"""The shape of a statement: its text without literals, list lengths and the numbers of schemas.
 
-Statements that differ only in these have the same shape; another table, join or aggregate is another shape.
+Statements that differ only in these have the same shape. Statements with different tables, joins or
+aggregates have different shapes.
 """
 
 from __future__ import annotations
@@ -15,7 +16,8 @@
 SCHEMA_NUMBER = b"#"  # stands for the number of a schema
 MINUS = b"-"
 SIGNS = (MINUS, b"+")
-# After these a sign belongs to the number behind it; after a name or a value it is an operator.
+# After these symbols and words, a sign belongs to the number that follows. After a name or a value, the sign
+# is an operator.
 SYMBOLS_BEFORE_SIGNED = frozenset((b"(", b",", b"=", b"<", b">", b"[", b"+", b"-", b"*", b"/", b"%"))
 WORDS_BEFORE_SIGNED = frozenset(
     (
@@ -40,16 +42,16 @@
 UNQUOTED_NAME = re.compile(rb"[a-z_][a-z0-9_$]*")  # a name that needs no quotes
 PARAMETER_SIGNS = (b":", b"@")  # before a name: ``:name``, ``@name``
 NUMBERED_PARAMETER_SIGN = b"$"  # before a number: ``$1``
-LIST_SO_FAR = [LITERAL, b","]
-ROW = [b"(", LITERAL, b")"]
-TWO_ROWS = [*ROW, b",", *ROW]
-MAX_NUMBERS = 32  # of a statement that are kept
+OPEN_LITERAL_LIST = [LITERAL, b","]
+LITERAL_ROW = [b"(", LITERAL, b")"]
+TWO_LITERAL_ROWS = [*LITERAL_ROW, b",", *LITERAL_ROW]
+MAX_NUMBERS = 32  # numbers of a statement that are kept
 DIGEST_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """A statement's shape, and its first ``MAX_NUMBERS`` numbers in order, those of schemas included."""
+    """A statement's shape, and its first ``MAX_NUMBERS`` numbers in order, including schema numbers."""
 
     digest: bytes
     text: bytes
@@ -57,7 +59,7 @@
 
 
 def shape_of(statement: bytes) -> Shape | None:
-    """The shape; ``None`` for a statement that is empty, or longer than ``MAX_SCANNED_BYTES``."""
+    """A statement's shape, or ``None`` if the statement is empty or longer than ``MAX_SCANNED_BYTES``."""
     if len(statement) > MAX_SCANNED_BYTES:
         return None
     builder = _ShapeBuilder()
@@ -67,14 +69,14 @@
 
 
 class _ShapeBuilder:
-    """Puts a shape together, token by token."""
+    """Builds a shape from the tokens of a statement."""
 
     def __init__(self) -> None:
-        self._words: list[bytes] = []  # of the shape
+        self._words: list[bytes] = []  # words of the shape
         self._numbers: list[float] = []
 
     def shape(self) -> Shape | None:
-        """The shape without semicolons at its end; ``None`` where nothing else was added."""
+        """The shape without semicolons at its end, or ``None`` if nothing but semicolons was added."""
         words = self._words
         while words and words[-1] == b";":
             words.pop()
@@ -94,14 +96,14 @@
         elif kind is TokenKind.NAME:
             self._add_name(text.lower())
         elif kind is TokenKind.QUOTED:
-            # As in the engines, a quoted name that needs no quotes is the same as without them.
+            # The engines treat a quoted name that needs no quotes like the unquoted name.
             self._add_name(text if UNQUOTED_NAME.fullmatch(text) else b'"' + text + b'"')
         else:
             self._add_symbol(text)
 
     def _add_number(self, text: bytes) -> None:
         factor = -1.0 if self._pop_sign() == MINUS else 1.0
-        value = _value(text)
+        value = _parse_number(text)
         if value is not None:
             self._numbers.append(factor * value)
         self._add_literal()
@@ -115,19 +117,19 @@
         return None
 
     def _add_literal(self) -> None:
-        """Add a literal; one that continues a list of them adds nothing."""
+        """Add a literal, unless it continues a list of literals, of which the shape holds only the first."""
         words = self._words
         if words and words[-1] == NUMBERED_PARAMETER_SIGN:
             words.pop()
-        if words[-len(LIST_SO_FAR) :] == LIST_SO_FAR:
+        if words[-len(OPEN_LITERAL_LIST) :] == OPEN_LITERAL_LIST:
             words.pop()
         else:
             words.append(LITERAL)
 
     def _add_name(self, name: bytes) -> None:
-        """Add a name; one behind a parameter's sign is a parameter, which counts as a literal."""
+        """Add a name. A name behind a parameter sign is a parameter, which counts as a literal."""
         words = self._words
-        # Behind two colons it is the type of a cast.
+        # A name behind two colons is the type of a cast.
         if words and words[-1] in PARAMETER_SIGNS and words[-2:-1] != [b":"]:
             words.pop()
             self._add_literal()
@@ -139,20 +141,20 @@
         if text == b"." and words:
             self._replace_schema_number()
         words.append(text)
-        # A row of literals, as behind VALUES, adds nothing after the first.
-        if text == b")" and words[-len(TWO_ROWS) :] == TWO_ROWS:
-            del words[-len(ROW) - 1 :]
+        # Of several rows of literals, as behind VALUES, the shape holds only the first.
+        if text == b")" and words[-len(TWO_LITERAL_ROWS) :] == TWO_LITERAL_ROWS:
+            del words[-len(LITERAL_ROW) - 1 :]
 
     def _replace_schema_number(self) -> None:
-        """Replace the number of the schema whose name was added last, if it has one."""
+        """Replace the number in the name that was added last, if it is the name of a numbered schema."""
         schema = numbered_schema(self._words[-1])
         if schema is not None:
             self._words[-1] = schema[1] + b"_" + SCHEMA_NUMBER
             self._numbers.append(float(schema[2]))
 
 
-def _value(text: bytes) -> float | None:
+def _parse_number(text: bytes) -> float | None:
     try:
         return float(text)
     except ValueError:
-        return None  # 0x1F, 12abc
+        return None  # A token such as 0x1F or 12abc has no value as a float.
--- a/grebeproxy/shapes/scanner.py
+++ b/grebeproxy/shapes/scanner.py
@@ -1,6 +1,7 @@
-"""Splits a statement into SQL tokens, on bytes and within bounds, and finds its group of tables.
+"""Splits a statement's bytes into SQL tokens, up to a length limit, and finds the statement's table group.
 
-The only place that knows what may hide names: strings and comments.
+The table group is the number at the end of a schema's name, as in ``sales_17``. No other module handles the
+strings and comments, in which text may look like a name.
 """
 
 from __future__ import annotations
@@ -9,8 +10,9 @@
 from collections.abc import Iterator
 from enum import Enum, auto
 
-# Alternatives in the order they are tried: what may hide names, names, and all else a character at a time.
-TOKENS = re.compile(
+# The alternatives in the order in which they are tried: tokens that may contain text that looks like a name,
+# then names and numbers, then any other character by itself.
+TOKEN_PATTERN = re.compile(
     rb"""(?P<skip> --[^\n]* | \s+ )
        | (?P<string> '(?:[^']|'')*'? | \$(?P<tag>[A-Za-z_]*)\$.*?(?:\$(?P=tag)\$|\Z) )
        | (?P<comment> /\* )
@@ -21,14 +23,15 @@
     re.VERBOSE | re.DOTALL,
 )
 COMMENT_DELIMITER = re.compile(rb"/\*|\*/")
-SCHEMA = re.compile(rb"(.*)_(\d{1,9})", re.DOTALL)
-STAGING_SCHEMA = b"staging"  # its number says nothing of the data
-MAX_SCANNED_BYTES = 16 * 1024  # of a statement; the rest is ignored, as scanning must not stall the loop
+NUMBERED_SCHEMA = re.compile(rb"(.*)_(\d{1,9})", re.DOTALL)
+STAGING_SCHEMA = b"staging"  # The number of a staging schema does not identify the data.
+# The rest of a longer statement is ignored, because scanning must not block the event loop.
+MAX_SCANNED_BYTES = 16 * 1024
 WORDS_BEFORE_TABLE = {b"from", b"join", b"into", b"update", b"table", b"using", b"only", b"truncate"}
 
 
 class TokenKind(Enum):
-    """What a token is."""
+    """The kind of a token."""
 
     NAME = auto()
     QUOTED = auto()
@@ -37,17 +40,19 @@
     OTHER = auto()
 
 
-KINDS = {kind.name.lower(): kind for kind in TokenKind}  # by the group of the pattern that matched
-Token = tuple[TokenKind, bytes]  # a plain tuple, as each statement makes many; quoted names without quotes
+# The kind of a token by the name of the group of ``TOKEN_PATTERN`` that matched.
+KIND_BY_GROUP = {kind.name.lower(): kind for kind in TokenKind}
+# Tokens are plain tuples, because each statement has many of them. Quoted names are without their quotes.
+Token = tuple[TokenKind, bytes]
 
 
 def scan(statement: bytes) -> Iterator[Token]:
-    """The tokens of a statement's first ``MAX_SCANNED_BYTES``, without comments and white space."""
+    """The tokens of a statement's first ``MAX_SCANNED_BYTES``, without comments and whitespace."""
     statement = statement[:MAX_SCANNED_BYTES]
     position = 0
-    while found := TOKENS.match(statement, position):
+    while found := TOKEN_PATTERN.match(statement, position):
         position = found.end()
-        kind = KINDS.get(found.lastgroup or "")
+        kind = KIND_BY_GROUP.get(found.lastgroup or "")
         if kind is not None:
             yield kind, found[0][1:-1] if kind is TokenKind.QUOTED else found[0]
         elif found.lastgroup == "comment":
@@ -55,21 +60,21 @@
 
 
 def numbered_schema(name: bytes) -> re.Match[bytes] | None:
-    """A match whose groups are a schema's name and number; ``None`` without a number, and for staging."""
-    found = SCHEMA.fullmatch(name)
+    """A match whose groups are a schema's name and number, or ``None`` without a number and for staging."""
+    found = NUMBERED_SCHEMA.fullmatch(name)
     return found if found and found[1].lower() != STAGING_SCHEMA else None
 
 
 def table_group(statement: bytes) -> int | None:
-    """The number in the name of the schema that a statement reads or writes; ``None`` where it has none.
+    """The number in the name of the schema that a statement reads or writes, or ``None`` without a number.
 
-    A name behind a word such as FROM takes precedence over others, which may be columns behind an alias.
+    A name behind a word such as FROM takes precedence over other names, which may be columns behind an alias.
     """
-    first: int | None = None  # of a name that may not be a table's
-    previous = b""  # the name before this token
-    dotted = False  # a dot follows ``previous``
-    is_table = False  # ``previous`` is part of a table's name
-    table_follows = False  # the next name is part of a table's name
+    first: int | None = None  # number of the first schema whose name may not be part of a table's name
+    previous = b""  # latest name; empty after a number or a symbol other than a dot
+    dotted = False  # A dot follows ``previous``.
+    is_table = False  # ``previous`` is part of a table's name.
+    table_follows = False  # The next name is part of a table's name.
     for kind, text in scan(statement):
         if kind in (TokenKind.NAME, TokenKind.QUOTED):
             if dotted and (schema := numbered_schema(previous)):
@@ -88,7 +93,7 @@
 
 
 def _comment_end(statement: bytes, position: int) -> int:
-    """Where the block comment ends in which ``position`` is; comments nest."""
+    """The position of the end of the block comment that contains ``position``; comments nest."""
     depth = 1
     while depth and (delimiter := COMMENT_DELIMITER.search(statement, position)):
         depth += 1 if delimiter[0] == b"/*" else -1
