--- a/grebeproxy/net/connections/__init__.py
+++ b/grebeproxy/net/connections/__init__.py
@@ -1,6 +1,7 @@
-"""A router's kinds of connections, as asyncio protocols.
+"""The kinds of connections that a router has, as asyncio protocols.
 
-Each decodes bytes to typed messages and reports them as events to its host. Decisions are made elsewhere.
+Each kind decodes bytes to typed messages and reports them to its host as events. It makes no decisions: the
+router's state machine does.
 """
 
 from grebeproxy.net.connections.admin import AdminConnection
--- a/grebeproxy/net/connections/admin.py
+++ b/grebeproxy/net/connections/admin.py
@@ -10,7 +10,7 @@
 
 
 class AdminConnection(Connection):
-    """An operator's connection: one call, one answer."""
+    """An operator's connection, which carries one call and one answer."""
 
     peer = "operator"
 
@@ -25,20 +25,20 @@
         self.host.feed(events.AdminOpened(self.number))
 
     def message_event(self, message: object) -> events.Event:
-        """An operator's call."""
+        """Return the event that reports an operator's call."""
         return events.AdminCallReceived(self.number, cast(AdminCall, message))
 
     def close_event(self, reason: str) -> events.Event:
-        """Unregister the connection."""
+        """Unregister the connection, and return the event that reports its end."""
         self._admins.pop(self.number, None)
         return events.AdminClosed(self.number)
 
     def log_malformed(self, text: str) -> None:
-        """Rate-limited, because some callers send nothing else."""
+        """Write the line with a rate limit, because some callers send nothing but malformed bytes."""
         self.host.log_limited(text)
 
     def answer(self, done: bool, text: str) -> None:
-        """Write the answer and close behind it."""
+        """Send the answer, then close the connection."""
         if self.transport is not None and not self.detached:
             self.transport.write(admin_protocol.encode(done, text))
             self.close_gracefully()
--- a/grebeproxy/net/connections/base.py
+++ b/grebeproxy/net/connections/base.py
@@ -1,4 +1,4 @@
-"""What all connections have in common: decoding, reporting events, and the ways in which they close."""
+"""The base class of all connections: it decodes messages, reports events and closes connections."""
 
 from __future__ import annotations
 
@@ -11,29 +11,30 @@
 from grebeproxy.net.log_line import log_line
 from grebeproxy.net.messages import BadFrameError
 
-MAX_DISCARDED_BYTES = 256 * 1024  # read and dropped of a closing connection; beyond it, it is aborted
+# Bytes that a closing connection reads and discards before it is aborted.
+MAX_DISCARDED_BYTES = 256 * 1024
 
 
 class Decoder(Protocol):
-    """A codec's decoder."""
+    """The decoder of one wire protocol."""
 
     @property
     def partial(self) -> int:
-        """Bytes buffered of a message that is not complete yet."""
+        """Number of bytes buffered for a message that is still incomplete."""
 
     def feed(self, data: bytes) -> Iterator[object]:
-        """The messages that these bytes complete. Raises ``BadFrameError``."""
+        """Yield the messages that these bytes complete. Raises ``BadFrameError``."""
 
 
 class Host(Protocol):
-    """What a connection needs of the router that it belongs to."""
+    """The part of the router's runtime that a connection uses."""
 
     @property
     def closing(self) -> ClosingConnections:
-        """The connections that the router has closed and whose peers have not."""
+        """The connections that the router has closed but whose peers have not."""
 
     def now(self) -> float:
-        """The router's clock, in seconds."""
+        """The time on the router's clock, in seconds."""
 
     def feed(self, *reported: events.Event) -> None:
         """Pass events to the router."""
@@ -42,14 +43,15 @@
         """Write one log line."""
 
     def log_limited(self, text: str) -> None:
-        """Write one log line on a peer's malformed bytes, unless there was one less than a second ago."""
+        """Write one log line about a peer's malformed bytes, at most one per second."""
 
 
 class Connection(asyncio.Protocol):
-    """Decodes what comes in and reports it as events, which the subclasses define; ``peer`` is for the log.
+    """Decodes received bytes and reports the messages as events, which the subclasses define.
 
-    Once ``detached``, a connection reports nothing more: either it has reported its end, or the router asked
-    for it. Its transport may stay open for a moment longer (see ``close_gracefully``).
+    ``peer`` names the kind of peer in log lines. Once ``detached``, a connection reports nothing more: either
+    it has reported its end, or the router has closed it. Its transport may stay open a little longer (see
+    ``close_gracefully``).
     """
 
     peer: ClassVar[str]
@@ -58,16 +60,16 @@
         self.host = host
         self.decoder = decoder
         self.transport: asyncio.Transport | None = None
-        self.dial_task: asyncio.Task[None] | None = None  # owned by the dialer
+        self.dial_task: asyncio.Task[None] | None = None  # set by the dialer
         self.detached = False
-        self.half_closed = False  # the end of the stream is written
-        self.local_shortage = False  # dialling failed for want of a resource of this machine
+        self.half_closed = False  # whether the end of the stream was written
+        self.local_shortage = False  # whether dialling failed because this machine lacked a resource
         self._discarded_bytes = 0
 
     # --- called by asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, or abort it where the connection was closed while it was being made."""
+        """Store the transport, or abort it if the connection was closed while it was being opened."""
         self.transport = cast(asyncio.Transport, transport)
         if self.detached:
             self.transport.abort()
@@ -75,7 +77,7 @@
             self.on_open()
 
     def data_received(self, data: bytes) -> None:
-        """Report each message; bytes that the codec does not allow end the connection."""
+        """Report each message. Bytes that violate the protocol end the connection."""
         if self.detached:
             self._discard(data)
             return
@@ -94,12 +96,15 @@
             self.end("bytes that cannot be read")
 
     def eof_received(self) -> bool:
-        """Report the end at once: the transport alone would first flush its buffer, which nobody may read."""
+        """Close and report the end at once.
+
+        Without this, the transport would first flush its write buffer, which the peer may never read.
+        """
         self.end("closed")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end."""
+        """Report the end of the connection, unless it was reported already."""
         self.host.closing.remove(self)
         self.end(str(exc or "closed"))
 
@@ -111,29 +116,30 @@
     # --- ways to close
 
     def end(self, reason: str) -> None:
-        """Close and report it, unless the connection is detached already."""
+        """Close the connection and report its end, unless it is detached already."""
         if not self.detached:
             self.close()
             self.host.feed(self.close_event(reason))
 
     def close(self) -> None:
-        """Close without a report; also gives up a dial under way."""
+        """Close the connection without a report, and cancel a dial that is still in progress."""
         self.detached = True
         if self.dial_task is not None:
-            # A connect to a machine that does not answer would hold its descriptor for minutes.
+            # Without the cancellation, a connect to a machine that does not answer holds its descriptor for
+            # minutes.
             self.dial_task.cancel()
         self.abort()
 
     def abort(self) -> None:
-        """Close at once and drop what is written and not sent."""
+        """Close at once and discard unsent bytes."""
         if self.transport is not None:
             self.transport.abort()
 
     def close_gracefully(self) -> None:
-        """Send what is written and the end of the stream; for a moment, read and drop what still comes.
+        """Send unsent bytes and the end of the stream, and briefly read and discard what still arrives.
 
-        Closing a socket with unread bytes resets the connection, and the peer would lose with it what it has
-        not read yet.
+        Closing a socket that has unread bytes resets the connection, and the peer then loses the bytes that
+        it has not read yet.
         """
         self.detached = True
         if self.transport is not None and not self.transport.is_closing():
@@ -141,32 +147,32 @@
             self.host.closing.add(self)
 
     def half_close(self) -> None:
-        """Send the end of the stream behind what is written, and keep reading."""
+        """Send the end of the stream after all written bytes, and keep reading."""
         if self.transport is not None and not self.half_closed:
             self.half_closed = True
             self.transport.write_eof()
 
     def unsent_bytes(self) -> int:
-        """Bytes that were written and are not sent yet."""
+        """Number of bytes that were written but are not sent yet."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     # --- defined by the subclasses
 
     def on_open(self) -> None:
-        """Called when the connection is up."""
+        """Called once the connection is open."""
 
     def message_event(self, message: object) -> events.Event:
-        """The event that reports a decoded message."""
+        """Return the event that reports a decoded message."""
         raise NotImplementedError
 
     def partial_message_events(self) -> list[events.Event]:
-        """The events that report an incomplete message, where the router needs to know."""
+        """Return the events that report an incomplete message, if the router needs them."""
         return []
 
     def close_event(self, reason: str) -> events.Event:
-        """The event that reports the end of the connection."""
+        """Return the event that reports the end of the connection."""
         raise NotImplementedError
 
     def log_malformed(self, text: str) -> None:
-        """Write the line on bytes that the codec does not allow."""
+        """Write the log line about bytes that violate the protocol."""
         self.host.log(text)
--- a/grebeproxy/net/connections/change_log.py
+++ b/grebeproxy/net/connections/change_log.py
@@ -11,9 +11,9 @@
 
 
 class ChangeLogConnection(Connection):
-    """The connection to the change log; subscribes to what came after the event ``seq``.
+    """A connection to the change log, which subscribes to the events after number ``seq``.
 
-    ``dial`` is the number of the dial (see ``events.OpenChangeLog``) that its events carry.
+    ``dial`` is the connection's number from ``events.OpenChangeLog``. The events that report on it carry it.
     """
 
     peer = "change-log"
@@ -25,19 +25,19 @@
         self._dial = dial
 
     def on_open(self) -> None:
-        """Subscribe to what came after the last event."""
+        """Subscribe to the events after the router's last one, and report the connection as open."""
         assert self.transport is not None
         self.transport.write(changelog.hello(self._seq))
         self.host.feed(events.ChangeLogOpened(self._dial))
 
     def message_event(self, message: object) -> events.Event:
-        """An event of the log."""
+        """Return the event that reports an event of the change log."""
         return events.ChangeLogReceived(cast(ChangeLogUpdate, message))
 
     def close_event(self, reason: str) -> events.Event:
-        """The connection is closed, or could not be made."""
+        """Return the event that reports that the connection has ended or could not be opened."""
         return events.ChangeLogClosed(reason, self._dial)
 
     def retune(self, settings: Settings) -> None:
-        """Decode by these settings from the next event on."""
+        """Decode with these settings, starting with the next event."""
         self.decoder.apply_settings(settings)
--- a/grebeproxy/net/connections/client.py
+++ b/grebeproxy/net/connections/client.py
@@ -1,4 +1,4 @@
-"""Connections of clients, and what is bounded over all of them together."""
+"""Connections of clients, and the memory bounds that apply to all of them together."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from grebeproxy.net.messages import FromClient
 from grebeproxy.policy.interface import Settings
 
-# Per client: more than 32 answers of 48,000 bytes, which is all that a client may have open.
+# The bound is per client. A client may have 32 requests open, and 32 answers of 48,000 bytes fit in it.
 MAX_UNSENT_BYTES = 2 * 1024 * 1024
 SOCKET_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
@@ -23,14 +23,14 @@
 
 
 class ClientConnections(dict[int, "ClientConnection"]):
-    """The clients' open connections by their numbers."""
+    """The open connections of clients, by number."""
 
     def partial_bytes(self) -> int:
-        """Bytes buffered of incomplete messages."""
+        """Number of bytes buffered for incomplete messages."""
         return sum(client.decoder.partial for client in self.values())
 
     def unsent_bytes(self) -> int:
-        """Bytes of answers that clients have not read yet."""
+        """Number of bytes written to clients that are not sent yet."""
         return sum(client.unsent_bytes() for client in self.values())
 
 
@@ -54,37 +54,41 @@
         self.host.feed(events.ClientOpened(self.number))
         if self.detached or self.transport is None:
             return
-        # Keepalive, because a client whose machine disappears never closes its connection.
+        # Keepalive detects a client whose machine has disappeared: such a client never closes its connection.
         for level, option, value in SOCKET_OPTIONS:
             self.transport.get_extra_info("socket").setsockopt(level, option, value)
 
     def message_event(self, message: object) -> events.Event:
-        """A client's message."""
+        """Return the event that reports a client's message."""
         return events.ClientMessageReceived(self.number, cast(FromClient, message), self.host.now())
 
     def partial_message_events(self) -> list[events.Event]:
-        """The start of a message; all incomplete messages are bounded together."""
+        """Report the start of a message, and close the connection if incomplete messages exceed their bound.
+
+        The bound applies to the incomplete messages of all clients together.
+        """
         if self._clients.partial_bytes() > self._bounds.partial:
             self.end("incomplete messages of clients take too much memory")
         return [events.ClientMessageStarted(self.number)]
 
     def close_event(self, reason: str) -> events.Event:
-        """Unregister the connection."""
+        """Unregister the connection, and return the event that reports its end."""
         self._clients.pop(self.number, None)
         return events.ClientClosed(self.number)
 
     def log_malformed(self, text: str) -> None:
-        """Rate-limited, because some clients send nothing else."""
+        """Write the line with a rate limit, because some clients send nothing but malformed bytes."""
         self.host.log_limited(text)
 
     def retune(self, settings: Settings) -> None:
-        """Decode by these settings from the next message on."""
+        """Decode with these settings, starting with the next message."""
         self.decoder.apply_settings(settings)
 
     def write(self, data: bytes) -> None:
-        """Send an answer; a client that reads none of its answers loses its connection.
+        """Send an answer, and close the connection if the client's unsent answers exceed a bound.
 
-        Reading never pauses meanwhile: that a client leaves or cancels a request must be seen at once.
+        The router doesn't pause reading while answers are unsent, because it has to notice at once that the
+        client disconnects or cancels a request.
         """
         transport = self.transport
         if transport is None or self.detached or self.half_closed:
@@ -95,7 +99,7 @@
             self.host.closing.abort(self)
 
     def _exceeds_unsent_bounds(self) -> bool:
-        """Whether this client's unsent answers exceed its own bound, or those of all clients theirs."""
+        """Whether unsent answers exceed the bound of this client, or the bound of all clients together."""
         unsent = self.unsent_bytes()
         allowed = self._bounds.unsent
         if unsent > min(MAX_UNSENT_BYTES, allowed):
@@ -107,10 +111,11 @@
         self.close_gracefully()
 
     def close_or_abort(self) -> None:
-        """Close without a report, gracefully unless a half-close gave the client its time already.
+        """Close without a report: abort the connection if it is half-closed, else close it gracefully.
 
-        Not the same as ``close_gracefully``: a client that closes its own side after the half-close, and all
-        clients at the end of the program, still get what is unsent.
+        A half-closed connection is aborted because its client has had time to read. ``close_gracefully``
+        serves the other cases, in which unsent answers are still sent: a client that closes its own side
+        after the half-close, and all clients when the process exits.
         """
         if self.half_closed:
             self.detached = True
--- a/grebeproxy/net/connections/engine.py
+++ b/grebeproxy/net/connections/engine.py
@@ -20,34 +20,37 @@
         self._links = links
 
     def on_open(self) -> None:
-        """Report it. With a high-water mark of 0, a pause means that part of the last write is unsent."""
+        """Report the connection as open.
+
+        The high-water mark is set to 0, so that a pause means that part of the last write is unsent.
+        """
         assert self.transport is not None
         self.transport.set_write_buffer_limits(high=0)
         self.host.feed(events.LinkOpened(self.number))
 
     def message_event(self, message: object) -> events.Event:
-        """An engine's answer."""
+        """Return the event that reports an engine's answer."""
         return events.LinkAnswerReceived(self.number, cast(EngineAnswer, message))
 
     def partial_message_events(self) -> list[events.Event]:
-        """The start of an answer."""
+        """Return the event that reports the start of an answer."""
         return [events.LinkAnswerStarted(self.number)]
 
     def close_event(self, reason: str) -> events.Event:
-        """Unregister the connection."""
+        """Unregister the connection, and return the event that reports its end."""
         self._links.pop(self.number, None)
         return events.LinkClosed(self.number, self.local_shortage)
 
     def write(self, data: bytes) -> None:
-        """Send commands; dropped where the connection is not up."""
+        """Send commands. They are dropped if the connection is not open."""
         if self.transport is not None:
             self.transport.write(data)
 
     def pause_writing(self) -> None:
-        """The last write is not sent completely."""
+        """Report that part of the last write is unsent."""
         self.host.feed(events.LinkPaused(self.number))
 
     def resume_writing(self) -> None:
-        """All that was written is sent."""
+        """Report that all written bytes are sent."""
         if not self.detached:
             self.host.feed(events.LinkResumed(self.number))
--- a/grebeproxy/net/events.py
+++ b/grebeproxy/net/events.py
@@ -1,7 +1,7 @@
-"""The events that the router takes, and the effects that it asks for, independent of the wire protocol.
+"""The events that the router takes and the effects that it returns, independent of the wire protocols.
 
-``conn`` is the number of a client's or an operator's connection, ``link`` that of a connection to an engine.
-Times are in seconds, on the clock that the router's steps are given.
+``conn`` is the number of a client's or an operator's connection. ``link`` is the number of a connection to an
+engine. Times are in seconds, on the clock whose time is passed to each step of the router.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientMessageStarted:
-    """The first bytes of a client's message were received, but not all of it."""
+    """Some bytes of a client's message were received, but not the whole message."""
 
     conn: int
 
@@ -38,7 +38,8 @@
 class ClientMessageReceived:
     """A client's message was received in full.
 
-    ``received_at`` is the time at which its last byte was read, by default that of the step.
+    ``received_at`` is the time at which the message's last byte was read; ``None`` means the time of the
+    step.
     """
 
     conn: int
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkOpened:
-    """A connection to an engine is up."""
+    """A connection to an engine was established."""
 
     link: int
 
@@ -64,7 +65,8 @@
 class LinkClosed:
     """A connection to an engine has ended, or could not be opened.
 
-    ``local_shortage`` says that this machine ran out of something, such as descriptors.
+    ``local_shortage`` says that it could not be opened because this machine ran out of a resource, such as
+    file descriptors.
     """
 
     link: int
@@ -73,14 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkPaused:
-    """What was written last is not sent in full yet: nothing more may be written."""
+    """Part of the last write to an engine is still unsent, so nothing more may be written to it."""
 
     link: int
 
 
 @dataclass(frozen=True, slots=True)
 class LinkResumed:
-    """Everything that was written is sent."""
+    """Everything that was written to an engine has been sent, so more may be written."""
 
     link: int
 
@@ -95,14 +97,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkAnswerStarted:
-    """The first bytes of an engine's answer were received, but not all of it."""
+    """Some bytes of an engine's answer were received, but not the whole answer."""
 
     link: int
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeLogOpened:
-    """The connection to the change log is up and has sent its request; ``dial`` as in ``OpenChangeLog``."""
+    """The connection to the change log was established and has sent its request.
+
+    ``dial`` is the number that ``OpenChangeLog`` gave the connection.
+    """
 
     dial: int
 
@@ -116,7 +121,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeLogClosed:
-    """The connection that ``OpenChangeLog`` asked for has ended, or could not be opened."""
+    """The connection that ``OpenChangeLog`` asked for has ended, or could not be opened.
+
+    ``dial`` is the number that ``OpenChangeLog`` gave the connection.
+    """
 
     reason: str
     dial: int
@@ -124,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Woken:
-    """The time of the last ``Wake`` has come, and all input received by then has been reported."""
+    """The time of the last ``Wake`` has come, and all input received by that time has been reported."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -158,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reloaded:
-    """The configuration was read again; these parts of it take effect."""
+    """The configuration was read again. The fields are the parts of it that take effect without a restart."""
 
     changelog: Address
     settings: Settings
@@ -169,7 +177,8 @@
 class StopRequested:
     """The process is to shut down gracefully.
 
-    ``requested_at`` is the earliest time at which that may have been requested, by default that of the step.
+    ``requested_at`` is the earliest time at which the shutdown may have been requested; ``None`` means the
+    time of the step.
     """
 
     requested_at: float | None = None
@@ -204,14 +213,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseClient:
-    """Close a client's connection after what was written to it. No ``ClientClosed`` follows."""
+    """Close a client's connection once everything written to it is sent. No ``ClientClosed`` follows."""
 
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
 class HalfCloseClient:
-    """Close the router's side of a client's connection. ``ClientClosed`` follows."""
+    """Close the router's side of a client's connection. ``ClientClosed`` follows when the connection ends."""
 
     conn: int
 
@@ -257,16 +266,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseLink:
-    """Close a connection to an engine, or give up opening it. No ``LinkClosed`` follows."""
+    """Close a connection to an engine, or cancel opening it. No ``LinkClosed`` follows."""
 
     link: int
 
 
 @dataclass(frozen=True, slots=True)
 class OpenChangeLog:
-    """Connect to the change log, closing an earlier connection, and request the events after ``seq``.
+    """Connect to the change log, closing any earlier connection, and request the events after ``seq``.
 
-    ``dial`` is the connection's number. Its events carry it, which tells them from an earlier one's.
+    ``dial`` is the connection's number. The events that report on the connection carry it, so that a late
+    event of an earlier connection can be recognized.
     """
 
     address: Address
@@ -276,7 +286,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wake:
-    """Send ``Woken`` at that time; replaces an earlier ``Wake``."""
+    """Send ``Woken`` at the time ``at``. This replaces any earlier ``Wake``."""
 
     at: float
 
@@ -300,7 +310,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Exit:
-    """Exit, once everything that was written is sent."""
+    """Exit once everything that was written is sent."""
 
 
 Effect = Union[
--- a/grebeproxy/net/messages.py
+++ b/grebeproxy/net/messages.py
@@ -1,7 +1,8 @@
-"""The typed values that codecs decode to and encode from. They are independent of the wire protocol.
+"""The typed messages that codecs decode to and encode from. They are independent of the wire protocols.
 
-Times are in seconds. ``message_id`` is the id that a client gives its request on its connection; ``txn`` is
-the request's id towards engines, unique over all clients.
+Times are in seconds. ``message_id`` is the id that a client gives a request, unique on the client's
+connection. ``txn`` is the request's transaction id, which is sent to engines and is unique across all
+clients.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class BadFrameError(GrebeproxyError):
-    """Bytes that violate the protocol; the rest of the stream they came in cannot be decoded."""
+    """Received bytes violate the protocol. The rest of the same stream cannot be decoded."""
 
 
 # --- from clients
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request. ``timeout`` is how long the client waits, from when it sent the request."""
+    """A request to run a statement. ``timeout`` is how long the client waits after sending the request."""
 
     message_id: int
     txn: str
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidRequest:
-    """A request that cannot be used, and the name of the field that is invalid."""
+    """A request that cannot be run, and the name of the field that is invalid."""
 
     message_id: int
     field: str
@@ -49,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelRequest:
-    """The client no longer waits for the answer to a request."""
+    """The client cancels a request and no longer waits for its answer."""
 
     message_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """A health check: does this router accept requests?"""
+    """A health check that asks whether this router accepts requests."""
 
     message_id: int
 
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """All rows of the result, in order, as the pages they were received in."""
+    """The request was served. ``pages`` are the pages of the result, in order, as the engine sent them."""
 
     message_id: int
     pages: tuple[bytes, ...]
@@ -77,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Not served; a retry is harmless, best after ``retry_after`` seconds, if given."""
+    """The request was not served. A retry is harmless, best after ``retry_after`` seconds, if given."""
 
     message_id: int
     retry_after: float | None = None
@@ -85,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Not served, and the statement may or may not have run. ``field`` names one that was invalid."""
+    """The request was not served, but its statement may have run. ``field`` names an invalid field."""
 
     message_id: int
     field: str | None = None
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pong:
-    """The answer to a health check: whether this router accepts requests."""
+    """The answer to a ``Ping``. ``serving`` says whether this router accepts requests."""
 
     message_id: int
     serving: bool
@@ -107,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """Run a request. ``timeout`` is how long the router waits for its answer."""
+    """Run a request. ``timeout`` is how long the router waits for the engine's answer."""
 
     txn: str
     query_class: str
@@ -126,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Send another page of a result. Pages count from 0; the first is sent without being asked for."""
+    """Send another page of a result. Pages count from 0, and an engine sends page 0 without being asked."""
 
     txn: str
     page: int
@@ -141,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """A health check of the connection. The answer is ``ALIVE`` with the tag as its ``txn``."""
+    """A health check of a connection. The engine answers with ``ALIVE`` and with the tag as ``txn``."""
 
     tag: str
 
@@ -153,7 +154,7 @@
 
 
 class AnswerKind(Enum):
-    """What an engine's answer says."""
+    """The kinds of answers that an engine sends."""
 
     OK = "ok"
     FULL = "full"
@@ -166,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineAnswer:
-    """An answer. ``pages``, the number of pages of the result, comes with OK; ``page`` with PAGE."""
+    """An engine's answer. ``pages``, the number of pages of the result, comes with OK; ``page`` with PAGE."""
 
     txn: str
     kind: AnswerKind
@@ -181,9 +182,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeLogUpdate:
-    """One event of the change log; without a ``change`` it is a keep-alive.
+    """One event of the change log. An event without a ``change`` is a keep-alive.
 
-    ``addresses`` holds host and port by engine id.
+    ``addresses`` maps each engine id in the change to the engine's host and port.
     """
 
     seq: int
@@ -196,12 +197,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """Does this process accept clients?"""
+    """Ask whether this process accepts clients."""
 
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceOn:
-    """Disable an engine: it gets nothing new, whatever its state in the engine list."""
+    """Disable an engine: no new requests are sent to it, whatever its state in the engine list."""
 
     engine: str
 
@@ -220,12 +221,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Active:
-    """End the standby."""
+    """End the standby and accept clients again."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownCall:
-    """A line that is not a call."""
+    """A line that is not a valid call."""
 
 
 AdminCall = Union[Status, MaintenanceOn, MaintenanceOff, Standby, Active, UnknownCall]
