--- a/grebeproxy/net/router/admin.py
+++ b/grebeproxy/net/router/admin.py
@@ -19,7 +19,7 @@
 
 
 class AdminReply(NamedTuple):
-    """The reply to an operator's call: whether it was carried out, and the text that says so."""
+    """The reply to an operator's call: whether the call was carried out, and a text for the operator."""
 
     done: bool
     text: str
@@ -30,7 +30,7 @@
 
     def __init__(self, options: RouterOptions, now: float) -> None:
         super().__init__(options, now)
-        self._admins: dict[int, float] = {}  # when each connection was opened, the oldest first
+        self._admins: dict[int, float] = {}  # time of opening by connection number, the oldest first
 
     def _on_admin_event(self, event: AdminEvent) -> None:
         match event:
--- a/grebeproxy/net/router/answers.py
+++ b/grebeproxy/net/router/answers.py
@@ -1,4 +1,4 @@
-"""Open requests, and the one final answer of each."""
+"""Open requests, and the one final answer to each."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class Answers(Serving):
-    """Open requests by transaction id, clients by connection, and the one final answer of each request."""
+    """Holds open requests by transaction id and clients by connection, and answers each request once."""
 
     def __init__(self, options: RouterOptions, now: float) -> None:
         super().__init__(options, now)
         self._requests: dict[str, Request] = {}
         self._clients: dict[int, Client[Request]] = {}
-        self._statement_bytes = 0  # of all open requests
-        self._partial_result_bytes = 0  # of all results whose pages are not complete
+        self._statement_bytes = 0  # size of the statements of all open requests
+        self._partial_result_bytes = 0  # size of all results of which pages are still missing
 
     def _answer(self, request: Request, message: ToClient) -> None:
-        """Send the final answer, unless the request already had one."""
+        """Send the final answer, unless the request already has one."""
         if request.awaiting_answer:
-            self._settle(request)
+            self._stop_awaiting_answer(request)
             self._effects.append(AnswerClient(request.conn, message))
         self._forget_if_finished(request)
 
-    def _settle(self, request: Request) -> None:
-        """Record that the client waits for no answer to the request any more."""
+    def _stop_awaiting_answer(self, request: Request) -> None:
+        """Record that the client no longer waits for an answer to the request."""
         request.awaiting_answer = False
         client = self._clients.get(request.conn)
         if client is not None:
--- a/grebeproxy/net/router/attempts.py
+++ b/grebeproxy/net/router/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: sent to an engine, answered page by page, abandoned."""
+"""Sends attempts to engines, collects the pages of their answers, and abandons attempts."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from grebeproxy.policy import interface as api
 
 MAX_RESULT_BYTES = 48_000
-PARTIAL_ANSWER_TIMEOUT = 0.3  # seconds from an answer's first byte until it is taken to stay incomplete
+PARTIAL_ANSWER_TIMEOUT = 0.3  # seconds from an answer's first bytes until the connection is closed as stuck
 
 
 class Attempts(EngineLinks):
-    """Attempts: sent to an engine, answered page by page, abandoned."""
+    """Sends attempts to engines, collects the pages of their answers, and abandons attempts."""
 
     # --- sending
 
@@ -34,25 +34,29 @@
             return
         attempt = self._new_attempt(request, action)
         if not request.awaiting_answer or request.in_flight is not None or attempt.deadline <= self.now:
-            # At most one attempt is in flight, whatever was decided.
+            # A request has at most one attempt in flight, whatever the decision module decides.
             self._report_attempt(attempt, api.Outcome.SKIPPED)
             return
         request.in_flight = attempt
-        if action.engine in self._disabled_engines:  # manual overrides hold, whatever was decided
+        if action.engine in self._disabled_engines:
+            # Manual overrides apply, whatever the decision module decides.
             self._end_attempt(attempt, api.Outcome.SKIPPED)
             return
-        if action.engine not in self._locations:  # another engine has its address now
+        if action.engine not in self._locations:
+            # The engine has no known address: another engine has taken it over.
             self._end_attempt(attempt, api.Outcome.CONNECT_FAILED)
             return
         link = self._link_for(attempt)
         if link is None:
-            # This process has no descriptor left, which is no fault of the engine. FULL tells the module to
-            # wait and that nothing ran; CONNECT_FAILED would end other attempts on the engine.
+            # This process has reached its limit on connections, which is no fault of the engine. FULL tells
+            # the decision module to wait and that nothing ran. CONNECT_FAILED would end other attempts on the
+            # engine.
             self._end_attempt(attempt, api.Outcome.FULL)
             return
         attempt.link = link
         link.attempts[action.id] = attempt
-        # By id: a timer that refers to the attempt would keep its statement and pages in memory.
+        # The timer refers to the attempt by id and number. A reference to the attempt itself would keep its
+        # statement and pages in memory until the timer is due.
         self._timers.add(attempt.deadline, self._expire_attempt, action.id, attempt.number)
         self._links_to_flush[link.id] = link
 
@@ -76,7 +80,7 @@
             self._abandon_attempt(request.in_flight, api.Outcome.TIMEOUT)
 
     def _abandon_attempt(self, attempt: Attempt, outcome: api.Outcome) -> None:
-        """Stop an attempt; it ends once the stop command can have reached the engine."""
+        """Stop an attempt, and end it once the stop command has had time to reach the engine."""
         link, request = attempt.link, attempt.request
         if attempt.stopped or link is None:
             return
@@ -86,7 +90,8 @@
             return
         request.abandoned_links.add(link.id)
         if link.paused and attempt in link.unsent_attempts:
-            # Part of the request is still unsent and would reach the engine after its attempt has ended.
+            # Part of the request is still unsent. Without closing the connection, the request would reach the
+            # engine after its attempt has ended.
             self._drop_link(link)
             return
         txn = request.call.txn
@@ -97,10 +102,10 @@
         self._timers.add(self.now + STOP_TRANSIT, self._end_attempt, attempt, outcome)
 
     def _health_check_link(self, link: Link) -> None:
-        """Check a connection that was silent since an abandoned attempt started: its machine may be gone.
+        """Check a connection that was silent since an abandoned attempt started: the machine may be gone.
 
-        Closing it without a check cost a new connection for every third query over all routers, most of them
-        for queries that were merely slow.
+        Closing such connections without a check caused a new connection for every third query across all
+        routers, in most cases because a query was merely slow.
         """
         if link.health_checked_at is None and not link.retired:
             link.health_checked_at = self.now
@@ -110,7 +115,7 @@
     def _finish_health_check(self, link: Link) -> None:
         checked_at = link.health_checked_at
         if link.id in self._links and checked_at is not None and link.last_received_at <= checked_at:
-            link.retired = True  # attempts on it may be answered all the same
+            link.retired = True  # the attempts in flight on the connection may still be answered
             if not link.attempts:
                 self._drop_link(link)
         link.health_checked_at = None
@@ -118,7 +123,7 @@
     # --- events of connections to engines
 
     def _on_link_event(self, event: LinkEvent) -> None:
-        # The connection is unknown if the event crossed our closing it.
+        # The connection is unknown if the router closed it before this event arrived.
         if (link := self._links.get(event.link)) is None:
             return
         match event:
@@ -145,7 +150,7 @@
         link.last_received_at = self.now
         attempt = link.attempts.get(answer.txn)
         if attempt is None or not attempt.written:
-            return  # a late answer to an abandoned attempt, or an unsolicited one
+            return  # the answer is late, to an abandoned attempt, or unsolicited
         attempt.load_report = answer.report or attempt.load_report
         match answer.kind:
             case AnswerKind.OK if attempt.pages is None:
@@ -159,18 +164,18 @@
                 self._end_attempt(attempt, api.Outcome.FULL)
             case AnswerKind.STALE if attempt.pages is None:
                 self._end_attempt(attempt, api.Outcome.SKIPPED)
-            case AnswerKind.INVALID:  # no other answer on its connection can be trusted either
+            case AnswerKind.INVALID:
+                # No other answer on the same connection can be trusted either.
                 self._effects.append(LogLine(log_line("router.engine_answer.invalid", engine=link.engine)))
                 self._drop_link(link)
-            case AnswerKind.ALIVE | AnswerKind.OK:  # this OK is a duplicate of the first, and harmless
-                pass
-            case (
-                _
-            ):  # also a page that the engine lost: the statement ran, and a partial result would be wrong
+            case AnswerKind.ALIVE | AnswerKind.OK:
+                pass  # an OK that arrives here repeats the first one and is harmless
+            case _:
+                # The answer may say that a page is lost: the statement ran, but a partial result is wrong.
                 self._end_attempt(attempt, api.Outcome.ERROR)
 
     def _add_page(self, attempt: Attempt, number: int, body: bytes) -> None:
-        """Record a page of the result, and answer the client once it is complete."""
+        """Record a page of the result, and answer the client once the result is complete."""
         pages, request = attempt.pages or [], attempt.request
         added = len(body) if pages[number] is None else 0
         attempt.result_bytes += added
@@ -183,5 +188,6 @@
             self._answer(request, Served(request.call.message_id, parts))
             self._end_attempt(attempt, api.Outcome.OK, settled=True)
         elif self._partial_result_bytes > self._bounds.pages:
-            # Bounds memory when many results arrive a page at a time; it is no fault of the engine.
+            # This bounds memory when many results arrive page by page. The outcome is CANCELLED because the
+            # engine is not at fault.
             self._abandon_attempt(attempt, api.Outcome.CANCELLED)
--- a/grebeproxy/net/router/clients.py
+++ b/grebeproxy/net/router/clients.py
@@ -1,4 +1,4 @@
-"""Clients: connections admitted and closed, requests accepted, rejected and abandoned."""
+"""Admits and closes clients' connections; accepts, rejects and abandons requests."""
 
 from __future__ import annotations
 
@@ -30,16 +30,15 @@
 from grebeproxy.net.router.records import Request
 from grebeproxy.policy import interface as api
 
-TRANSIT_RESERVE = (
-    0.020  # seconds of a client's limit reserved for the network, for request and answer together
-)
-# Seconds after its deadline until a request is failed by the router, still within the rules' tolerance: the
-# decision module has had its chance by then.
+# Seconds of a client's timeout that are reserved for the transfer of the request and the answer together.
+TRANSIT_RESERVE = 0.020
+# Seconds after a request's deadline until the router fails the request, if the decision module has not
+# decided about it. This is still within the tolerance that the rules allow.
 OVERDUE_GRACE = 0.030
 
 
 class Clients(Attempts):
-    """Clients: connections admitted and closed, requests accepted, rejected and abandoned."""
+    """Admits and closes clients' connections; accepts, rejects and abandons requests."""
 
     def __init__(self, options: RouterOptions, now: float) -> None:
         super().__init__(options, now)
@@ -50,7 +49,7 @@
             case ClientOpened(conn):
                 self._admit(conn)
             case ClientMessageReceived(conn, message, received_at):
-                # The connection is unknown, or half closed, if the message crossed our closing it.
+                # The connection is unknown or half-closed if the router closed it before the message arrived.
                 if (client := self._clients.get(conn)) is not None and client.half_closed_at is None:
                     self._on_client_message(client, message, self.now if received_at is None else received_at)
             case ClientMessageStarted(conn):
@@ -63,7 +62,7 @@
     # --- connections
 
     def _admit(self, conn: int) -> None:
-        """Accept a connection, at the limit by closing an idle one, or else reject it."""
+        """Accept a connection. At the limit, close an idle one for it, or else reject the new one."""
         if len(self._clients) >= self._bounds.clients:
             evicted = admission.connection_to_evict(self._clients)
             self._close_client(conn if evicted is None else evicted)
@@ -78,7 +77,7 @@
         self._timers.add(self.now + admission.SWEEP_INTERVAL, self._sweep)
 
     def _sweep(self) -> None:
-        """Close the connections that timed out."""
+        """Close the connections that have timed out."""
         for conn in admission.timed_out_connections(self._clients, self.now):
             self._close_client(conn)
         self._sweep_scheduled = False
@@ -90,7 +89,7 @@
         self._forget_client(conn)
 
     def _forget_client(self, conn: int) -> None:
-        """A client's connection has ended: abandon all requests that are open on it."""
+        """Forget a client whose connection has ended, and abandon all its open requests."""
         client = self._clients.pop(conn, None)
         for request in list(client.requests.values()) if client is not None else ():
             self._abandon_request(request)
@@ -107,16 +106,16 @@
             case Call():
                 self._on_call(client, message, received_at)
             case CancelRequest(message_id):
-                # The request is unknown if the message crossed its answer.
+                # The request is unknown if its answer was sent before the cancellation arrived.
                 if message_id in client.requests:
                     self._abandon_request(client.requests[message_id])
             case Ping(message_id):
                 self._effects.append(AnswerClient(client.conn, Pong(message_id, not self._draining())))
             case InvalidRequest(message_id, field):
-                self._count_unusable(client, Failed(message_id, field))
+                self._answer_unusable_request(client, Failed(message_id, field))
 
-    def _count_unusable(self, client: admission.Client[Request], answer: ToClient) -> None:
-        """Answer an unusable request; a client that keeps sending them is disconnected, to protect others."""
+    def _answer_unusable_request(self, client: admission.Client[Request], answer: ToClient) -> None:
+        """Answer an unusable request; disconnect a client that sends too many, to protect other clients."""
         client.unusable_requests += 1
         if client.unusable_requests < admission.MAX_UNUSABLE_REQUESTS:
             self._effects.append(AnswerClient(client.conn, answer))
@@ -127,15 +126,18 @@
         """Accept a request, reject it, or disconnect the client."""
         rejected = Rejected(call.message_id, self.settings.max_retry_after)
         if call.message_id in client.requests:
-            # Two answers with one id could not be told apart: nothing on this connection can be trusted.
+            # The client could not tell apart two answers with one id, so nothing on this connection can be
+            # trusted.
             self._close_client(client.conn)
         elif call.txn in self._requests:
-            # An engine still has a request with this id; the answers to both would mix.
-            self._count_unusable(client, Failed(call.message_id, "txn"))
-        elif call.query_class not in self._deadlines:  # removed, which clients may not know yet
+            # An engine may still be running a request with this transaction id. Without this rejection, the
+            # router could not tell apart the answers to the two requests.
+            self._answer_unusable_request(client, Failed(call.message_id, "txn"))
+        elif call.query_class not in self._deadlines:
+            # The settings no longer have the query class, which clients may not know yet.
             self._effects.append(AnswerClient(client.conn, rejected))
         elif len(client.requests) >= admission.MAX_OPEN_REQUESTS:
-            self._count_unusable(client, rejected)
+            self._answer_unusable_request(client, rejected)
         elif not self._has_capacity(call):
             self._effects.append(AnswerClient(client.conn, rejected))
         else:
@@ -149,8 +151,9 @@
         )
 
     def _accept_request(self, client: admission.Client[Request], call: Call, received_at: float) -> None:
-        # At most the deadline of its class: client limits of hours would make records pile up.
-        # Counted from when the request was read, as the client counts from when it wrote it.
+        # The deadline counts from when the request was read, because the client's timeout counts from when
+        # the client wrote it. It is at most the deadline of the query class: with client timeouts of hours,
+        # records would pile up.
         deadline = received_at + min(call.timeout, self._deadlines[call.query_class]) - TRANSIT_RESERVE
         request = Request(call, client.conn, deadline)
         self._requests[call.txn] = client.requests[call.message_id] = request
@@ -174,15 +177,15 @@
     # --- requests
 
     def _abandon_request(self, request: Request) -> None:
-        """The client no longer waits: cancel the attempt that is in flight."""
-        self._settle(request)
+        """Record that the client no longer waits for the request, and cancel its attempt in flight."""
+        self._stop_awaiting_answer(request)
         self._module_events.append(api.ClientDisconnected(request.call.txn))
         if request.in_flight is not None:
             self._abandon_attempt(request.in_flight, api.Outcome.CANCELLED)
         self._forget_if_finished(request)
 
     def _fail_overdue(self, txn: str, deadline: float) -> None:
-        """Answer in time even if the decision module decided nothing."""
+        """Fail an overdue request, so that it is answered even if the decision module decides nothing."""
         request = self._requests.get(txn)
         if request is not None and request.deadline == deadline and request.awaiting_answer:
             self._effects.append(LogLine(log_line("router.request.overdue", txn=txn)))
--- a/grebeproxy/net/router/decisions.py
+++ b/grebeproxy/net/router/decisions.py
@@ -1,4 +1,4 @@
-"""Decisions: the decision module hears what happened, and its actions are carried out."""
+"""Passes events to the decision module and carries out the actions that it decides on."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class DecisionModule(Protocol):
-    """A decision module."""
+    """A decision module, which turns events into actions."""
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Take the events since the last call, in order, and decide; ``now`` is in seconds."""
+        """Take the events since the last call, in order, and return actions. ``now`` is in seconds."""
 
 
 # Creates a decision module from the settings, the current time in seconds, and a random seed.
@@ -25,7 +25,7 @@
 
 
 class Decisions(Admin):
-    """Decisions: the decision module hears what happened, and its actions are carried out."""
+    """Passes events to the decision module and carries out the actions that it decides on."""
 
     def __init__(
         self, options: RouterOptions, now: float, make_decision_module: DecisionModuleFactory
@@ -35,7 +35,7 @@
         self._next_decision_at = now
 
     def _decide_if_due(self) -> None:
-        """Give the module what happened since its last round, at most one round a settings ``tick``."""
+        """Pass the events since the last round to the decision module, at most once per ``settings.tick``."""
         if self._module_events and self.now >= self._next_decision_at:
             self._next_decision_at = self.now + self.settings.tick
             events, self._module_events = self._module_events, []
@@ -43,10 +43,14 @@
                 self._carry_out(action)
 
     def _decide(self, events: list[api.Event]) -> list[api.Action]:
-        """Ask the module. After a fault in it the router goes on, and ``_fail_overdue`` answers clients."""
+        """Ask the decision module for actions.
+
+        If the module raises an exception, the router goes on, and ``_fail_overdue`` answers the open
+        requests.
+        """
         try:
             return self._decision_module.handle(self.now, events)
-        except Exception:  # whatever the fault is, open requests still have to be answered
+        except Exception:  # any exception is caught, because open requests still have to be answered
             self._effects.append(LogLine(f"router.decision_module.failed\n{traceback.format_exc()}"))
             return []
 
@@ -62,7 +66,7 @@
                 self._carry_out_on_request(action)
 
     def _carry_out_on_request(self, action: api.Action) -> None:
-        """Carry out an action on an open request: its terms, its answer, the cancelling of its attempt."""
+        """Carry out an action on an open request: set its terms, answer it, or cancel its attempt."""
         match action:
             case api.SetTerms():
                 if action.id in self._requests:
--- a/grebeproxy/net/router/discovery.py
+++ b/grebeproxy/net/router/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the change log is followed, and its events are applied to the engines."""
+"""Discovery: follows the change log and applies its events to the engines."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 
 
 class Discovery(Clients):
-    """Discovery: the change log is followed, and its events are applied to the engines."""
+    """Follows the change log and applies its events to the engines."""
 
     def __init__(self, options: RouterOptions, now: float) -> None:
         super().__init__(options, now)
         self._change_log = Follower(options.changelog, now)
 
     def _on_change_log_event(self, event: ChangeLogEvent) -> None:
-        """Follow the connection; what an earlier connection still reports is ignored."""
+        """Process an event of the change log's connection, unless an earlier connection opened or closed."""
         match event:
             case ChangeLogOpened(dial) if dial == self._change_log.dials:
                 self._change_log.opened(self.now)
             case ChangeLogReceived(update):
-                self._read_change_log(update)
+                self._on_change_log_update(update)
             case ChangeLogClosed(reason, dial) if dial == self._change_log.dials:
-                self._lose_change_log(reason)
+                self._schedule_change_log_dial(reason)
 
     # --- the connection
 
     def _dial_change_log(self, dials: int) -> None:
-        """Connect, unless another connection was dialled since this one was scheduled as number ``dials``."""
+        """Connect, unless the number of dials has changed from ``dials`` since this dial was scheduled."""
         if dials != self._change_log.dials:
             return
         self._effects.append(self._change_log.dial(self.now))
@@ -50,7 +50,7 @@
         return self._change_log.silence_deadline(self.settings.rules.drain_grace)
 
     def _check_change_log(self, dials: int) -> None:
-        """Dial again if the connection has been silent, or has not come up, for too long."""
+        """Dial again if the connection has been silent, or has not opened, for too long."""
         if not self._change_log.open or dials != self._change_log.dials:
             return
         due = self._change_log_due()
@@ -61,8 +61,8 @@
         self._change_log.timed_out()
         self._dial_change_log(self._change_log.dials)
 
-    def _lose_change_log(self, reason: str) -> None:
-        """Dial again after the backoff."""
+    def _schedule_change_log_dial(self, reason: str) -> None:
+        """Log the loss of the connection, and dial again after a backoff."""
         if self._change_log.open:
             self._log_change_log_lost(reason)
             delay = self._change_log.give_up()
@@ -79,9 +79,9 @@
             self._effects.append(LogLine(line))
             self._dial_change_log(self._change_log.dials)
 
-    # --- its events
+    # --- the events of the change log
 
-    def _read_change_log(self, update: ChangeLogUpdate) -> None:
+    def _on_change_log_update(self, update: ChangeLogUpdate) -> None:
         if not self._change_log.open:
             return
         self._start_listening()
@@ -89,7 +89,7 @@
             if self._change_log.receive(update, self.now):
                 self._apply(update)
         except ChangeLogGapError as error:
-            self._lose_change_log(str(error))
+            self._schedule_change_log_dial(str(error))
 
     def _apply(self, update: ChangeLogUpdate) -> None:
         change, addresses = update.change, update.addresses or {}
@@ -105,7 +105,7 @@
         self._module_events.append(change)
 
     def _apply_engine(self, entry: api.Engine, address: Address) -> None:
-        """Apply the entry of one engine: where it listens, whether it is up, and since when."""
+        """Apply the entry of one engine: its address, its state and its start time."""
         if entry.state is not api.EngineState.GONE:
             self._release_address(address, entry.id)
         old = self._locations.get(entry.id)
@@ -117,11 +117,15 @@
         elif old is not None and (old.address != address or old.started_at != entry.started):
             migrated = old.address != address
             for link in list(self._links_by_engine.get(entry.id, ())):
-                if migrated or link.opened_at < (entry.started or 0.0):  # its process has ended since
+                # The connection leads to an old address, or to a process that has ended since.
+                if migrated or link.opened_at < (entry.started or 0.0):
                     self._drop_link(link)
 
     def _release_address(self, address: Address, engine: str) -> None:
-        """Drop the connections of an engine that had the address before: this engine would answer on them."""
+        """Drop the connections of the engine that had the address before.
+
+        Without this, the engine that has the address now might answer on those connections.
+        """
         previous = self._engine_by_address.get(address, engine)
         if previous != engine:
             self._retire_links(previous, drop=True)
--- a/grebeproxy/net/router/engine_links.py
+++ b/grebeproxy/net/router/engine_links.py
@@ -1,4 +1,4 @@
-"""Connections to engines: opened, written to and closed, and the attempts that end with them."""
+"""Opens, writes to and closes connections to engines, and ends the attempts on connections that close."""
 
 from __future__ import annotations
 
@@ -11,28 +11,29 @@
 from grebeproxy.net.router.records import Attempt, Link
 from grebeproxy.policy import interface as api
 
-STOP_TRANSIT = 0.020  # seconds that a stop command, or a close, is given to reach the engine
-# Of the engines' idle time-out. Closing before the engine does keeps requests from crossing its close.
+STOP_TRANSIT = 0.020  # seconds allowed for a stop command, or the close of a connection, to reach the engine
+# The router closes an idle connection after this fraction of the engines' idle timeout. It closes first, so
+# that no request is sent on a connection that the engine is just closing.
 IDLE_TIMEOUT_FRACTION = 0.8
 
 
 class EngineLinks(EngineTable):
-    """Connections to engines: opened, written to and closed, and the attempts that end with them."""
+    """Opens, writes to and closes connections to engines, and ends the attempts on connections that close."""
 
     def __init__(self, options: RouterOptions, now: float) -> None:
         super().__init__(options, now)
-        self._commands: dict[int, list[ToEngine]] = {}  # to be written at the end of the step
-        self._links_to_flush: dict[int, Link] = {}  # may carry attempts that are not written yet
+        self._commands: dict[int, list[ToEngine]] = {}  # by connection, written at the end of the step
+        self._links_to_flush: dict[int, Link] = {}  # connections that may have attempts to be written
 
     # --- the end of an attempt
 
     def _end_attempt(self, attempt: Attempt, outcome: api.Outcome, settled: bool = False) -> None:
-        """Record that an attempt is over, and report it to the decision module; later calls do nothing."""
+        """Record that an attempt has ended, and report it to the decision module. Later calls do nothing."""
         request = attempt.request
         if request.in_flight is not attempt:
             return
         if attempt.link is not None and attempt.written and not settled:
-            request.abandoned_links.add(attempt.link.id)  # pages, or a second answer, may still arrive
+            request.abandoned_links.add(attempt.link.id)  # pages or a second answer may still arrive on it
         self._detach(attempt)
         self._partial_result_bytes -= attempt.result_bytes
         request.in_flight = None
@@ -53,7 +54,7 @@
         )
 
     def _detach(self, attempt: Attempt) -> None:
-        """Take an attempt off its connection, and close a retired connection after its last one."""
+        """Remove an attempt from its connection, and close a retired connection after its last attempt."""
         link, attempt.link = attempt.link, None
         if link is None or link.attempts.pop(attempt.request.call.txn, None) is None or link.attempts:
             return
@@ -64,9 +65,10 @@
     # --- opening
 
     def _link_for(self, attempt: Attempt) -> Link | None:
-        """A connection with capacity that can carry no late answer for the request, else a new one.
+        """Return a connection for an attempt: one with capacity, or else a new one.
 
-        ``None`` if the limit on connections is reached.
+        A connection on which a late answer to the request may arrive is not used. Return ``None`` if a new
+        one is needed and the limit on connections is reached.
         """
         links = [
             link
@@ -93,9 +95,10 @@
     # --- writing
 
     def _flush(self, link: Link) -> None:
-        """Write the attempts that wait for the connection, unless it is paused.
+        """Write the attempts that wait for the connection, unless the connection is paused.
 
-        Called at the end of a step, when all input is known: a client's disconnect, a drain, the time.
+        This is called at the end of a step, when all input of the step is known, such as a client's
+        disconnect or the draining of an engine.
         """
         if not link.connected or link.paused or link.id not in self._links:
             return
@@ -103,7 +106,8 @@
         for attempt in [attempt for attempt in link.attempts.values() if not attempt.written]:
             if self.now < attempt.write_by:
                 ready.append(attempt)
-            else:  # a retry that waited for its connection until it was no longer harmless
+            else:
+                # A retry has waited for its connection for so long that it is no longer harmless.
                 self._end_attempt(attempt, api.Outcome.SKIPPED)
         if not ready:
             return
@@ -132,7 +136,7 @@
             self._drop_link(link)
 
     def _check_answer_complete(self, link: Link, started_at: float) -> None:
-        """Close a connection whose answer stays incomplete: nothing behind it can be received."""
+        """Close a connection whose answer stays incomplete, because no later answer on it can be received."""
         if link.answer_started_at == started_at and link.id in self._links:
             self._effects.append(LogLine(log_line("router.engine_answer.timed_out", engine=link.engine)))
             self._drop_link(link)
@@ -144,7 +148,8 @@
     def _check_idle(self, link: Link) -> None:
         """Close the connection if it was idle for too long.
 
-        A connection has one such timer all its life: one for each time it becomes idle would pile up.
+        A connection has a single idle timer throughout its life. Timers that were added each time the
+        connection became idle would pile up.
         """
         if link.id not in self._links:
             return
@@ -155,10 +160,10 @@
             self._timers.add(idle_since + self._idle_timeout(), self._check_idle, link)
 
     def _drop_link(self, link: Link, close: bool = True, local_shortage: bool = False) -> None:
-        """End a connection. Attempts written to it may have run; the others never did.
+        """End a connection. Attempts that were written to it may have run, and the others have not.
 
-        ``close`` is false if the connection has ended already. ``local_shortage`` says that it could not be
-        opened because this machine ran out of something, such as descriptors.
+        ``close`` is false if the connection has ended already. ``local_shortage`` says that the connection
+        could not be opened because this machine ran out of a resource, such as file descriptors.
         """
         if self._links.pop(link.id, None) is None:
             return
@@ -174,18 +179,21 @@
                 outcome = api.Outcome.FULL if local_shortage else api.Outcome.CONNECT_FAILED
                 self._end_attempt(attempt, outcome)
             else:
-                # Reported only once the engine can know of the close. Otherwise a retry, or the next request
-                # of the same key, could reach the engine first. This also ends an attempt that was stopped
-                # while a part of it was unsent.
+                # The end of the attempt is reported only once the close has had time to reach the engine.
+                # Without this delay, a retry or the next request with the same key could reach the engine
+                # first. The timer also ends an attempt that was stopped while part of it was unsent.
                 attempt.stopped = True
                 self._detach(attempt)
                 self._timers.add(self.now + STOP_TRANSIT, self._end_attempt, attempt, api.Outcome.RESET)
 
     def _retire_links(self, engine: str, drop: bool = False) -> None:
-        """Send nothing more to an engine; its connections close after their last answer, or at once."""
+        """Send no more attempts to an engine, and close its connections after their last answer.
+
+        With ``drop``, the connections are closed at once.
+        """
         for link in list(self._links_by_engine.get(engine, ())):
             link.retired = True
-            # Nothing may be sent once a drain was announced, so what is not written yet never will be.
+            # Nothing may be sent once a drain was announced, so attempts that are not written yet end here.
             for attempt in [attempt for attempt in link.attempts.values() if not attempt.written]:
                 self._end_attempt(attempt, api.Outcome.SKIPPED)
             if drop or not link.attempts:
--- a/grebeproxy/net/router/engine_table.py
+++ b/grebeproxy/net/router/engine_table.py
@@ -1,4 +1,4 @@
-"""Which engines listen where, and which connections to them are open."""
+"""The table of engines: their addresses, and the open connections to them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EngineTable(Answers):
-    """Which engines listen where, and which connections to them are open."""
+    """Holds the engines' addresses and the open connections to engines."""
 
     def __init__(self, options: RouterOptions, now: float) -> None:
         super().__init__(options, now)
@@ -17,13 +17,13 @@
         self._links_by_engine: dict[str, list[Link]] = {}
         self._locations: dict[str, EngineLocation] = {}
         self._engine_by_address: dict[Address, str] = {}  # the engine that was last listed at each address
-        self._disabled_engines: frozenset[str] = frozenset()  # by manual overrides
+        self._disabled_engines: frozenset[str] = frozenset()  # engines that manual overrides disable
 
     def _set_location(self, engine: str, location: EngineLocation) -> None:
-        """Record where an engine listens, in place of what was known before."""
+        """Record an engine's location, replacing the earlier one."""
         self._forget_location(engine)
         self._locations[engine] = location
-        # An event about an engine that has gone must not claim an address that another engine now has.
+        # An engine that has gone must not take back an address that another engine has now.
         if not location.gone or location.address not in self._engine_by_address:
             self._engine_by_address[location.address] = engine
 
@@ -33,7 +33,10 @@
             del self._engine_by_address[location.address]
 
     def _forget_if_gone(self, engine: str) -> None:
-        """Delete the records of an engine without connections. Bounds memory: engines get new ids forever."""
+        """Delete the records of an engine that has gone and has no connections.
+
+        This bounds memory, because new engines keep getting new ids.
+        """
         if not self._links_by_engine.get(engine):
             self._links_by_engine.pop(engine, None)
             if engine in self._locations and self._locations[engine].gone:
--- a/grebeproxy/net/router/options.py
+++ b/grebeproxy/net/router/options.py
@@ -1,4 +1,4 @@
-"""What a router is constructed from."""
+"""The options that a router is constructed with."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterOptions:
-    """The configuration of one router, fixed except for what a reload replaces.
+    """The configuration with which a router starts. A reload may replace some of it later.
 
-    ``seed`` seeds the decision module. ``known`` holds the change log events that the configuration already
-    contains, in order; it is iterated once. ``shared`` says that the listening socket is shared with another
-    process, such as the one that this process replaces.
+    ``changelog`` is the address of the change log. ``bounds`` limits connections and memory. ``seed`` seeds
+    the decision module. ``known`` holds the change log events that the configuration contains, in order, and
+    is iterated once. ``shared`` says that the listening socket is shared with another process, such as the
+    one that this process replaces.
     """
 
     settings: api.Settings
--- a/grebeproxy/net/router/overrides.py
+++ b/grebeproxy/net/router/overrides.py
@@ -1,4 +1,4 @@
-"""Manual overrides: engines that operators have disabled get nothing new."""
+"""Manual overrides: keeps new requests from engines that operators have disabled."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class Overrides(Discovery):
-    """Manual overrides: engines that operators have disabled get nothing new."""
+    """Keeps new requests from engines that operators have disabled."""
 
     def __init__(self, options: RouterOptions, now: float) -> None:
         super().__init__(options, now)
         self._overrides = ManualOverrides()
 
     def _knows_engine(self, engine: str) -> bool:
-        """Whether an engine is listed, or was disabled while it was."""
+        """Whether an engine is in the engine list or is disabled by a manual override."""
         location = self._locations.get(engine)
         return engine in self._overrides.disabled() or (location is not None and not location.gone)
 
@@ -30,7 +30,7 @@
         return done
 
     def _merge_overrides(self, calls: Calls) -> None:
-        """Take the overrides that another process of this router has written."""
+        """Merge in the overrides that another process of this router has written."""
         self._overrides.merge(calls)
         if self._overrides.calls != calls:
             self._save_overrides()
@@ -40,7 +40,7 @@
         self._effects.append(SaveOverrides(dict(self._overrides.calls)))
 
     def _apply_overrides(self) -> None:
-        """Act on the set of disabled engines, if it has changed."""
+        """Apply the set of disabled engines if it has changed."""
         disabled = self._overrides.disabled()
         if disabled == self._disabled_engines:
             return
--- a/grebeproxy/net/router/records.py
+++ b/grebeproxy/net/router/records.py
@@ -1,4 +1,4 @@
-"""Records of the router: requests, attempts, connections to engines, and engine locations."""
+"""The router's records of requests, attempts, connections to engines, and locations of engines."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A client's request; kept until it is answered and no attempt of it is in flight."""
+    """A client's request, which is kept until it is answered and has no attempt in flight."""
 
     call: Call
     conn: int  # the client's connection
@@ -19,8 +19,9 @@
     attempt_count: int = 0
     in_flight: Attempt | None = None
     memory_mb: float | None = None
-    # Connections on which an earlier attempt was abandoned. They are not used for a later attempt, because
-    # all attempts of a request share one id and a late answer could not be told apart.
+    # Numbers of the connections on which an earlier attempt was abandoned. They are not used for later
+    # attempts: all attempts of a request share one transaction id, so a late answer could be taken for the
+    # new one.
     abandoned_links: set[int] = field(default_factory=set)
 
 
@@ -33,11 +34,13 @@
     engine: str
     started_at: float
     deadline: float
-    write_by: float  # it is not written later, because a retry is only harmless for a limited time
+    write_by: (
+        float  # time after which the attempt is not written, because a retry is harmless only for a time
+    )
     link: Link | None = None
     written: bool = False
     stopped: bool = False
-    pages: list[bytes | None] | None = None  # of the result, once its first page was received
+    pages: list[bytes | None] | None = None  # pages of the result, or None until the first page was received
     result_bytes: int = 0
     load_report: dict[str, float] | None = None
 
@@ -53,18 +56,18 @@
     idle_since: float
     connected: bool = False
     paused: bool = False
-    answer_started_at: float | None = None  # when an answer began that is still incomplete
-    health_checked_at: float | None = None  # when the health check was sent that is still open
-    retired: bool = False  # takes no further attempts, and is closed after its last one
+    answer_started_at: float | None = None  # time of the first bytes of an answer that is still incomplete
+    health_checked_at: float | None = None  # time of a health check that is still unanswered
+    retired: bool = False  # whether it takes no further attempts and is closed after its last one
     attempts: dict[str, Attempt] = field(default_factory=dict)
-    # Attempts of the latest write, which may not have been sent in full while the connection is paused.
+    # The attempts of the latest write, part of which may be unsent while the connection is paused.
     unsent_attempts: list[Attempt] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class EngineLocation:
-    """Where an engine listens, and when it started if that was recently."""
+    """The address at which an engine listens, and its start time if the engine list gives one."""
 
     address: Address
     started_at: float | None
-    gone: bool = False  # kept only until the last connection to the engine is closed
+    gone: bool = False  # whether the engine has left the list and is kept only until its connections close
--- a/grebeproxy/net/router/reload.py
+++ b/grebeproxy/net/router/reload.py
@@ -1,4 +1,4 @@
-"""Reload: a configuration that was read again takes effect."""
+"""Reload: applies a configuration that was read again."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Reload(Overrides):
-    """Reload: a configuration that was read again takes effect."""
+    """Applies a configuration that was read again."""
 
     def _reload(self, event: Reloaded) -> None:
         self.limits = event.limits
@@ -18,7 +18,7 @@
         self._migrate_change_log(event.changelog)
 
     def _change_settings(self, settings: api.Settings) -> None:
-        """Go by other settings; requests under way keep their class, their deadline and their attempt."""
+        """Apply changed settings. Open requests keep their query class, their deadline and their attempt."""
         if settings == self.settings:
             return
         self.settings = settings
--- a/grebeproxy/net/router/shutdown.py
+++ b/grebeproxy/net/router/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: clients are moved elsewhere, what was accepted is answered, then the process exits."""
+"""Graceful shutdown: moves clients to other routers, answers accepted requests, and exits."""
 
 from __future__ import annotations
 
@@ -10,21 +10,23 @@
 from grebeproxy.net.router.reload import Reload
 from grebeproxy.policy import interface as api
 
-# Seconds after a stop for which the process accepts connections on a socket of its own. The platform sends
-# new ones for 0.4 s.
+# Seconds after a stop for which the process keeps accepting connections, if no other process shares its
+# listening socket. The platform sends new connections for 0.4 s after the stop.
 ACCEPT_AFTER_STOP = 0.5
-SERVE_AFTER_STOP = 0.7  # seconds after a stop before which the process does not exit, though all is answered
-# The platform kills the process after the longest deadline, but no later than this, plus KILL_MARGIN.
+MIN_TIME_TO_EXIT = 0.7  # seconds between a stop and the exit, even if all requests are answered earlier
+# The platform kills the process a margin of 0.7 s after the longest deadline, or after this delay if it is
+# shorter.
 MAX_KILL_DELAY = 3.0  # seconds
-MAX_KILL_DELAY_SHARED_SOCKET = 5.0  # seconds, where another process takes over the socket
-KILL_MARGIN = 0.6  # seconds, which leaves 0.1 s of the platform's 0.7 s
-MIN_REMAINING = 0.25  # seconds before the last answers are due in which no request is accepted any more
+MAX_KILL_DELAY_SHARED_SOCKET = 5.0  # seconds, if another process takes over the socket
+KILL_MARGIN = 0.6  # seconds, 0.1 s less than the platform's margin
+LAST_ACCEPT_MARGIN = 0.25  # seconds before the last answers are due from which requests are rejected
 
 
 class GracefulShutdown(Reload):
-    """Graceful shutdown: clients are moved elsewhere, what was accepted is answered, then the process exits.
+    """Graceful shutdown: moves clients to other routers, answers accepted requests, and exits.
 
-    Standby is its first part alone: clients are moved elsewhere, and the process keeps running.
+    Standby consists of the first part alone: clients are moved to other routers, and the process keeps
+    running.
     """
 
     def __init__(self, options: RouterOptions, now: float) -> None:
@@ -32,7 +34,7 @@
         self._shared = options.shared
         self._exit_when_answered = False
         self._exited = False
-        # Clients that were between requests when the sockets were read the last time.
+        # Clients that had no open request when the sockets were last read.
         self._idle_clients: set[int] = set()
 
     def _enter_standby(self) -> None:
@@ -45,9 +47,10 @@
         self._accept_until = float("inf")
 
     def _stop(self, requested_at: float) -> None:
-        """Begin the shutdown; once begun, further stops change nothing.
+        """Begin the shutdown. Further stop requests change nothing.
 
-        Times count from when the stop was requested, as the platform counts the time until it kills.
+        Times count from when the stop was requested, because the platform's time until the kill counts from
+        then.
         """
         if self._stopping:
             return
@@ -55,19 +58,20 @@
         longest_deadline = max(self._deadlines.values())
         killed_after = min(longest_deadline, MAX_KILL_DELAY_SHARED_SOCKET if self._shared else MAX_KILL_DELAY)
         last_answers_due = requested_at + killed_after + KILL_MARGIN - OVERDUE_GRACE
-        self._accept_until = min(self._accept_until, last_answers_due - MIN_REMAINING)
+        self._accept_until = min(self._accept_until, last_answers_due - LAST_ACCEPT_MARGIN)
         self._timers.add(last_answers_due, self._answer_all)
-        if self._shared:  # the process that takes over accepts the connections still queued
+        if self._shared:
+            # The process that takes over accepts the connections that are still queued.
             self._stop_listening()
         else:
             self._timers.add(requested_at + ACCEPT_AFTER_STOP, self._stop_listening)
-        self._timers.add(requested_at + SERVE_AFTER_STOP, self._allow_exit)
+        self._timers.add(requested_at + MIN_TIME_TO_EXIT, self._allow_exit)
 
     def _allow_exit(self) -> None:
         self._exit_when_answered = True
 
     def _answer_all(self) -> None:
-        """Answer what is still open, shortly before the process is killed."""
+        """Answer all open requests shortly before the process is killed."""
         idempotent = {
             query_class.name
             for query_class in self.settings.classes
@@ -82,10 +86,10 @@
             self._abandon_request(request)
 
     def _half_close_idle_clients(self) -> None:
-        """Close connections between requests, while clients are moved elsewhere.
+        """Half-close idle connections while clients are moved to other routers.
 
-        A client may have sent a request that is not read yet. So a connection is closed only if it is still
-        idle after the sockets were read once more.
+        An idle client may have sent a request that is not read yet. A connection is therefore half-closed
+        only if it is still idle after the sockets were read once more.
         """
         idle: set[int] = set()
         if self._draining():
@@ -101,7 +105,10 @@
         return self._exit_when_answered and not self._exited and self._all_answered()
 
     def _exit_if_answered(self) -> None:
-        """Exit, after the sockets were read once more: a request may have arrived in the meantime."""
+        """Exit if all requests are answered and the sockets were read once more.
+
+        The sockets are read once more because a request may have arrived in the meantime.
+        """
         if self._sockets_read and self._may_exit():
             self._exited = True
             self._accept_until = self.now
--- a/grebeproxy/net/router/state_machine.py
+++ b/grebeproxy/net/router/state_machine.py
@@ -1,4 +1,4 @@
-"""The router's state machine: ``step`` takes what happened and returns the effects to carry out."""
+"""The router's state machine: ``step`` takes events and returns the effects to carry out."""
 
 from __future__ import annotations
 
@@ -47,13 +47,13 @@
         self, options: RouterOptions, now: float, make_decision_module: DecisionModuleFactory = Choice
     ) -> None:
         super().__init__(options, now, make_decision_module)
-        self._wake_at: float | None = None  # of the last ``Wake`` that has not come back as ``Woken``
+        self._wake_at: float | None = None  # time of the latest ``Wake``, until its ``Woken`` arrives
         for update in options.known:
             self._change_log.seq = update.seq
             self._apply(update)
 
     def start(self, now: float) -> list[Effect]:
-        """Return the first effects; called once, before any ``step``."""
+        """Return the first effects. This is called once, before any ``step``."""
         self.now = now
         self._effects = []
         self._dial_change_log(self._change_log.dials)
@@ -61,7 +61,7 @@
         return self._finish_step()
 
     def step(self, now: float, events: Iterable[Event]) -> list[Effect]:
-        """Take what happened, in order, and return the effects to carry out, in order."""
+        """Process events in order, and return the effects to carry out, in order."""
         self.now = now
         self._effects = []
         self._sockets_read = False
@@ -87,7 +87,7 @@
         """Ask to be woken when something is due, unless an earlier ``Wake`` covers it."""
         due = self._timers.next_due()
         if self._idle_clients or self._may_exit():
-            due = self.now  # both wait until the sockets were read once more
+            due = self.now  # idle clients and the exit wait until the sockets were read once more
         if self._module_events:
             due = self._next_decision_at if due is None else min(due, self._next_decision_at)
         if due is not None and (self._wake_at is None or due < self._wake_at or self._wake_at <= self.now):
@@ -110,7 +110,7 @@
                 self._on_process_event(event)
 
     def _on_process_event(self, event: Event) -> None:
-        """Events of the process itself: overrides read, configuration reloaded, stop requested, wake-up."""
+        """Process an event of the process itself: overrides read, configuration reloaded, stop or wake-up."""
         match event:
             case OverridesRead(calls):
                 self._merge_overrides(calls)
--- a/grebeproxy/net/router/timer_queue.py
+++ b/grebeproxy/net/router/timer_queue.py
@@ -8,10 +8,10 @@
 
 
 class TimerQueue:
-    """Calls to make at a time. Timers that are due at the same time run in the order they were added.
+    """A queue of callbacks, each due at a time. Timers due at the same time run in the order they were added.
 
-    ``numbers`` gives ascending numbers, which break ties. There is no cancelling: a callback checks whether
-    its reason still holds.
+    ``numbers`` yields ascending numbers, which break ties. Timers can't be cancelled: a callback has to check
+    whether it still applies.
     """
 
     def __init__(self, numbers: Iterator[int]) -> None:
@@ -19,11 +19,11 @@
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
 
     def add(self, due: float, callback: Callable[..., None], *args: Any) -> None:
-        """Call ``callback(*args)`` once the time is ``due``, in seconds on the router's clock."""
+        """Call ``callback(*args)`` at the time ``due``, in seconds on the router's clock."""
         heappush(self._heap, (due, next(self._numbers), callback, args))
 
     def next_due(self) -> float | None:
-        """When the earliest timer is due; ``None`` if there is none."""
+        """Return the time at which the earliest timer is due, or ``None`` if there is no timer."""
         return self._heap[0][0] if self._heap else None
 
     def run_due(self, now: float) -> None:
