--- a/grebeproxy/net/connections/change_log.py
+++ b/grebeproxy/net/connections/change_log.py
@@ -38,6 +38,6 @@
         """Return the event that reports that the connection has ended or could not be opened."""
         return events.ChangeLogClosed(reason, self._dial)
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Decode with these settings, starting with the next event."""
         self.decoder.apply_settings(settings)
--- a/grebeproxy/net/connections/client.py
+++ b/grebeproxy/net/connections/client.py
@@ -80,7 +80,7 @@
         """Write the line with a rate limit, because some clients send nothing but malformed bytes."""
         self.host.log_limited(text)
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Decode with these settings, starting with the next message."""
         self.decoder.apply_settings(settings)
 
--- a/grebeproxy/net/runtime.py
+++ b/grebeproxy/net/runtime.py
@@ -303,6 +303,6 @@
     def _retune(self, settings: Settings) -> None:
         """Have connections decode by these settings."""
         for client in self.clients.values():
-            client.retune(settings)
+            client.apply_settings(settings)
         if self._change_log is not None:
-            self._change_log.retune(settings)
+            self._change_log.apply_settings(settings)
