--- a/grebeproxy/policy/actions.py
+++ b/grebeproxy/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the decision module asks to be done. Clock times and delays are in seconds, memory in MB."""
+"""Actions: what the decision module asks its caller for. Times and delays are in seconds, memory is in MB."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     """Start an attempt; it is abandoned at clock time ``until``.
 
     Where ``send_before`` is given, the attempt is a retry that may do harm when sent at that time or
-    later. If it is still waiting for a connection then, it is not sent, and ends as ``SKIPPED``.
+    later. If the attempt is still waiting for a connection then, it is not sent and ends as ``SKIPPED``.
     """
 
     id: str
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTerms:
-    """Memory grant (``None``: the engine chooses) and priority, 0 low to 3 high, of a query."""
+    """Set the priority (0 low to 3 high) and memory grant (``None``: the engine chooses) of a query."""
 
     id: str
     priority: int
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: rejected, a retry is harmless, best after ``retry_after`` seconds."""
+    """Answer a query finally: it is rejected, and may be retried, best after ``retry_after`` seconds."""
 
     id: str
     retry_after: float | None = None
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; the query may have run."""
+    """Answer a query finally: it has failed, and may have run."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Cancel an attempt."""
+    """Cancel an attempt; ``attempt`` counts the query's attempts from 0."""
 
     id: str
     attempt: int
@@ -69,19 +69,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Ask service discovery for changes from now on."""
+    """Ask service discovery to send changes of the engine list from now on, or no more if ``on`` is False."""
 
     on: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """Ask service discovery for the whole list once."""
+    """Ask service discovery to send the whole engine list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """Send bytes to one router, or to all when ``to`` is ``None``."""
+    """Send a message to one router, or to all when ``to`` is ``None``."""
 
     data: str
     to: int | None = None
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/grebeproxy/policy/choice.py
+++ b/grebeproxy/policy/choice.py
@@ -1,4 +1,4 @@
-"""All decisions of one router. Its types, events and actions are in ``grebeproxy/policy/interface.py``."""
+"""All decisions of one router. Settings, events and actions are in ``grebeproxy/policy/interface.py``."""
 
 from random import Random
 
@@ -12,23 +12,23 @@
 
 DATA_SET_RATE_TIME = 15.0  # seconds over which the rates of data sets and tenants are averaged
 MAX_DATA_SETS = 1024  # data sets whose rates are kept
-SWEEPS_PER_OBJECTIVE = 16  # sweeps in the tightest class's latency objective, while queries are queued
-IDLE_SWEEP_INTERVALS = 4  # intervals between sweeps while none are
+SWEEPS_PER_OBJECTIVE = 16  # sweeps per latency objective of the tightest class, while queries are queued
+IDLE_SWEEP_INTERVALS = 4  # sweep intervals between two sweeps while no query is queued
 
 
 class Choice(Lifecycle):
     """The decisions of one router: ``handle`` takes events and returns the actions to carry out."""
 
     def __init__(self, settings: api.Settings, now: float, seed: int) -> None:
-        """Start at clock time ``now``; routers may all be given the same seed."""
+        """Start at clock time ``now``; all routers may be given the same seed."""
         super().__init__(now, DATA_SET_RATE_TIME, MAX_DATA_SETS)
         self._apply_settings(settings)
-        # With one seed for all, many routers would make the same choices at the same time.
+        # With the same random numbers, many routers would make the same choices at the same time.
         self.random = Random(seed + self.many_routers * settings.index)
         self.watch_at = now if settings.polls_engine_list else float("inf")
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Process the events of one moment, in order, and return the actions in theirs."""
+        """Process events that come at the same time, in order, and return the actions in order."""
         self.now, self.actions = now, []
         if any(self.queues) or any(isinstance(event, api.Query) for event in events):
             self._refresh_engines()
@@ -50,7 +50,7 @@
         return self.actions
 
     def _handle_event(self, event: api.Event) -> None:
-        """Process one event. Events without a case here need no decision."""
+        """Process one event. An event that no case matches needs no decision."""
         match event:
             case api.Query():
                 self._accept(event)
@@ -71,14 +71,14 @@
                 self._apply_settings(event.settings)
 
     def _engine_list_received(self, event: api.EngineList) -> None:
-        """Apply the list; after a failed poll ask again well before the list grows too old."""
+        """Apply the list; after a failed poll, ask again well before the known list is too old."""
         if event.list_kind is api.ListKind.FAILED:
             self.watch_at = self.now + (self.settings.rules.list_max_age or 1.0) / 4
         else:
             self.apply_engine_list(event)
 
     def _health_check_ended(self, event: api.HealthCheckEnded) -> None:
-        """Record a health check; a quick answer takes an ejected engine back, on probation."""
+        """Record a health check; a quick answer ends the ejection of an engine, on probation."""
         engine = self.engines.get(event.engine)
         if engine is None:
             return
@@ -90,20 +90,20 @@
             engine.slowdown = self.fleet_slowdown
 
     def _apply_settings(self, settings: api.Settings) -> None:
-        """Use these settings from now on; keep what was learned where it still means the same."""
+        """Use these settings from now on; keep learned values that still mean the same under them."""
         self.settings = settings
         self.max_class_threads = max(cls.threads for cls in settings.classes)
-        # With many routers, one's share of an engine is less than a query, and its own attempts tell little
-        # of what the others do there.
+        # With many routers, a router's share of an engine is less than a query, and its own attempts tell
+        # little about what the others send to that engine.
         smallest = min(kind.cores for kind in settings.kinds)
         self.many_routers = settings.balancers * self.max_class_threads > MAX_THREADS_PER_CORE * smallest
         classes = sorted(settings.classes, key=lambda cls: (cls.latency_objective, cls.deadline))
         self.max_backlog = sum(cls.latency_objective for cls in classes) / len(classes) / 2
         rates = {tenant.name: tenant.allowance / settings.balancers for tenant in settings.tenants}
         self.set_quotas({t: TenantQuota(rate, self.now, DATA_SET_RATE_TIME) for t, rate in rates.items()})
-        # Work at which a query takes half of its objective or less.
-        work = [c.latency_objective * c.threads / (2 + c.objective_stretch) for c in classes]
-        self.set_classes(classes, work, settings.kinds)
+        # For each class the work at which a query takes at most half of its latency objective.
+        initial_work = [c.latency_objective * c.threads / (2 + c.objective_stretch) for c in classes]
+        self.set_classes(classes, initial_work, settings.kinds)
         ranks = range(len(classes))
         self.rank_weight = [(self.lowest_rank - rank) / max(1, self.lowest_rank) for rank in ranks]
         self.priority_gap = PRIORITY_GAP_MARGIN * max(1, self.lowest_rank)
--- a/grebeproxy/policy/engine_tracking.py
+++ b/grebeproxy/policy/engine_tracking.py
@@ -1,6 +1,6 @@
-"""The engines that a router knows: the list, overrides, its subset of them, and their averages.
+"""The engines that a router knows: the list, manual overrides, its subset of engines, and their averages.
 
-Only keeps account, and makes no decisions.
+This module holds state, and makes no decisions.
 """
 
 from __future__ import annotations
@@ -13,55 +13,57 @@
 from grebeproxy.policy.records import EngineRecord
 from grebeproxy.policy.state import RouterState
 
-MIN_WARMUP_CAPACITY = 0.05  # least part of its capacity that a warming engine is assumed to have
+MIN_WARMUP_CAPACITY = 0.05  # lower limit of the fraction of capacity that a warming engine counts with
 
 
 class EngineTracking(RouterState):
-    """The engines that a router knows, by the list, by operators and by its own attempts."""
+    """The engines that a router knows from the list, from operators and from its own attempts."""
 
     def __init__(self, now: float) -> None:
         super().__init__(now)
         self.refreshed_at = now
-        self.engine_list: dict[str, Engine] = {}  # all listed engines, in the subset or not
-        self.overridden: frozenset[str] = frozenset()  # engines that operators have taken out
-        self.engines: dict[str, EngineRecord] = {}  # of the subset, and where attempts are in flight
-        self.usable_engines: list[EngineRecord] = []  # of the subset, listed as up, not overridden
-        self.healthy_engines: list[EngineRecord] = []  # and not ejected
-        # The subset.
-        self.rings: list[HashRing] = []  # of the engines listed as up: all, then by zones and kinds
+        self.engine_list: dict[str, Engine] = {}  # all listed engines, whether in the subset or not
+        self.overridden: frozenset[str] = frozenset()  # engines that operators have disabled
+        self.engines: dict[str, EngineRecord] = {}  # engines in the subset or with attempts in flight
+        self.usable_engines: list[EngineRecord] = []  # engines in the subset, listed as up and not overridden
+        self.healthy_engines: list[EngineRecord] = []  # usable engines that are not ejected
+        # The subset of engines that this router works with.
+        self.rings: list[HashRing] = []  # rings of the engines listed as up: all, then by zones and kinds
         self.positions = RouterPositions(1, 0)
-        self.subset_stale = True  # the subset is to be chosen anew
-        self.window_engines: set[str] = set()  # the subset's window of the ring of all engines
+        self.subset_stale = True  # True if the subset must be chosen anew
+        self.window_engines: set[str] = set()  # engines of the subset's window on the ring of all engines
         self.window_size = 0
-        self.window_extension = 0  # engines wanted beyond the window while few are reliable
+        self.window_extension = 0  # number of engines beyond the window, while few are reliable
         self.extension_engines: list[str] = []
-        # This router's share of the healthy engines, and its attempts in flight there.
+        # This router's share of the healthy engines, and its attempts in flight on them.
         self.cores = 1.0
-        self.memory = 0.0
-        self.threads = 0.0
-        self.granted = 0.0
-        self.memory_fill = 0.0  # granted part of the memory, averaged over time
+        self.memory = 0.0  # MB of the share
+        self.threads = 0.0  # threads of the attempts in flight
+        self.granted = 0.0  # MB granted to the attempts in flight
+        self.memory_fill = 0.0  # granted fraction of the memory, averaged over time
         self.mean_long_threads = 0.0  # threads of long classes, averaged over time
-        self.traffic_ratio = 1.0  # this router's traffic over the mean router's
-        self.peer_similarity = 1.0  # how far its attempts tell what other routers do, 0 to 1
-        # Health.
-        self.fault_rate = 0.0  # moving average over all attempts
-        self.fleet_slowdown = 1.0  # latency over run time of all answers
-        self.lasting_slowdown = 1.0  # the same, but not fading with time
-        self.slowdown_by_warming = [1.0, 1.0]  # the same of warm engines, and of warming ones
+        self.traffic_ratio = 1.0  # this router's traffic over that of the mean router
+        self.peer_similarity = 1.0  # how well its attempts predict those of other routers, 0 to 1
+        # Health of the fleet.
+        self.fault_rate = 0.0  # moving average of faults over all attempts
+        self.fleet_slowdown = 1.0  # average of latency over run time of all answers, decaying with time
+        self.lasting_slowdown = 1.0  # like fleet_slowdown, but without decay over time
+        self.slowdown_by_warming = [1.0, 1.0]  # slowdown of warm engines, and of warming ones
         # Engines that are warming up.
-        self.warming_capacity = 0.0  # cores of this router's share of them, as far as they are warm
-        self.warming_fraction = 0.0  # their part of the capacity of all healthy engines
-        self.warming_weights: list[float] = []  # core-seconds that a query counts there, by rank
-        self.warming_unit = 1.0  # core-seconds in a unit of their slots
+        self.warming_capacity = 0.0  # cores of this router's share of warming engines, scaled by warm-up
+        self.warming_fraction = 0.0  # fraction of warming engines in the capacity of all healthy ones
+        self.warming_weights: list[
+            float
+        ] = []  # core-seconds that a query counts on a warming engine, by rank
+        self.warming_unit = 1.0  # core-seconds in one unit of a warming engine's slot
 
     def is_usable(self, engine: EngineRecord) -> bool:
-        """True if it is in the subset, listed as up, and not taken out by operators."""
+        """True if the engine is in the subset, listed as up, and not disabled by operators."""
         entry = engine.entry
         return engine.in_subset and entry.state is EngineState.UP and entry.id not in self.overridden
 
     def apply_engine_list(self, event: EngineList) -> None:
-        """Apply a list or its changes; an engine that has restarted warms up, and may be tried at once."""
+        """Apply a list or changes to it; an engine that has restarted warms up and may get a trial now."""
         entries = {entry.id: entry for entry in event.engines}
         if event.list_kind is not ListKind.CHANGES:
             for missing in [id for id in self.engine_list if id not in entries]:
@@ -81,7 +83,7 @@
         self.subset_stale = True
 
     def apply_overrides(self, overridden: frozenset[str]) -> None:
-        """Apply what operators have taken out; engines that they give back have restarted meanwhile."""
+        """Apply the set of disabled engines; engines that operators enable again have restarted meanwhile."""
         for id in self.overridden - overridden & self.engine_list.keys():
             self.engine_list[id] = replace(self.engine_list[id], started=self.now)
             engine = self.engines.get(id)
@@ -93,7 +95,7 @@
     def set_positions(self, filters: Iterable[tuple[frozenset[str] | None, frozenset[str] | None]]) -> None:
         """Place the routers on the ring; keep a ring of all engines and one for each filter.
 
-        A filter is a pair of zones and kinds, None for all.
+        A filter is a pair of allowed zones and allowed kinds; None allows all.
         """
         self.positions = RouterPositions(self.settings.balancers, self.settings.index)
         self.rings = [HashRing(*pair) for pair in dict.fromkeys([(None, None), *filters])]
@@ -102,7 +104,7 @@
         self.subset_stale = True
 
     def set_kinds(self, kinds: tuple[EngineKind, ...]) -> None:
-        """Give the known engines the sizes of their kinds; those of unknown kinds keep theirs."""
+        """Give the known engines the sizes of their kinds; engines of unknown kinds keep their sizes."""
         kind_of = {kind.name: kind for kind in kinds}
         for engine in self.engines.values():
             kind = kind_of.get(engine.entry.kind)
@@ -110,17 +112,18 @@
                 engine.cores, engine.memory = kind.cores, kind.memory_mb
 
     def use_all_engines(self) -> None:
-        """Make all listed engines the subset, as all routers do where there are few of them."""
+        """Make all listed engines the subset, as all routers do when there are few routers."""
         self.window_engines, self.extension_engines = set(self.engine_list), []
         self._use_engines(self.engine_list)
         for engine in self.engines.values():
             engine.sharers, engine.share_index = self.settings.balancers, self.settings.index
 
     def use_window(self, base: int) -> None:
-        """Make the subset the next engines of each ring from this router's position on.
+        """Make the subset of the engines of each ring that follow this router's position.
 
-        All routers use at least the first ``base`` engines of the ring of all, so for those it is known
-        exactly which routers share them. For the rest ``sharers`` is the mean and ``share_index`` negative.
+        Each router uses at least the first ``base`` engines from its position on the ring of all engines, so
+        for these engines it is known exactly which routers share them. For the other engines ``sharers`` is
+        the mean, and ``share_index`` is negative.
         """
         ring, position = self.rings[0], self.positions.own
         window = ring.window(position, 0, self.window_size)
@@ -136,7 +139,7 @@
             engine.sharers, engine.share_index = self.positions.sharers(ring.rank(id), base, len(ring))
 
     def _use_engines(self, ids: Iterable[str]) -> None:
-        """Make these engines the subset; records of others stay while attempts are in flight there."""
+        """Make these engines the subset; records of other engines stay while they have attempts in flight."""
         for engine in self.engines.values():
             engine.in_subset = False
         for id in ids:
@@ -148,7 +151,7 @@
         self.subset_stale = False
 
     def _new_engine(self, entry: Engine) -> EngineRecord:
-        """The record of an engine that is new to this router; an unknown kind counts as the first one."""
+        """Make the record of a new engine; an engine of unknown kind gets the sizes of the first kind."""
         kinds = self.settings.kinds
         kind = next((kind for kind in kinds if kind.name == entry.kind), kinds[0])
         engine = EngineRecord(entry, kind.cores, kind.memory_mb)
@@ -158,7 +161,10 @@
         return engine
 
     def prune_engines(self) -> None:
-        """Drop records that nothing needs any more: new engines keep coming under new names."""
+        """Drop records that are no longer needed.
+
+        Without this step records would accumulate, because new engines keep coming under new names.
+        """
         retained = self.engines.items()
         self.engines = {id: engine for id, engine in retained if engine.in_subset or engine.in_flight}
 
@@ -167,7 +173,7 @@
         return since is not None and self.now < since + self.settings.rules.slow_start_time
 
     def _warmup_capacity(self, engine: EngineRecord) -> float:
-        """Part of its full capacity that the engine is assumed to have, up to 1; grows linearly."""
+        """Fraction of its full capacity that the engine is assumed to have; it grows linearly up to 1."""
         if not self._warming_up(engine):
             return 1.0
         first, age = self.settings.rules.slow_start_fraction, self.now - (engine.warming_since or 0.0)
@@ -175,22 +181,22 @@
         return max(MIN_WARMUP_CAPACITY, grown)
 
     def update_engines(self) -> None:
-        """Bring up to date the lists of usable and healthy engines, and all sums over them."""
+        """Update the lists of usable and healthy engines, and all sums over them."""
         self.usable_engines = [engine for engine in self.engines.values() if self.is_usable(engine)]
         healthy = self.healthy_engines = [e for e in self.usable_engines if e.ejected_at is None]
         self._sum_warming(healthy)
         routers = self.settings.balancers
-        # All listed engines over those that this router works with.
+        # The number of all listed engines over that of the engines that this router works with.
         scale = len(self.rings[0]) / max(1, len(self.usable_engines)) if self.many_routers else 1.0
         cores = sum(engine.cores * self._warmup_capacity(engine) for engine in healthy)
         self.cores = cores * self.traffic_ratio / routers * scale or 1.0
         self.memory = sum(engine.memory for engine in healthy) * self.traffic_ratio / routers * scale
         mean = sum(len(engine.in_flight) for engine in healthy) / max(1, len(healthy))
-        # The more attempts it has in flight, the better its own tell what the other routers' are.
+        # The more attempts this router has in flight, the better they predict those of the other routers.
         self.peer_similarity = max(1.0 / routers, mean / (1.0 + mean))
 
     def _sum_warming(self, healthy: list[EngineRecord]) -> None:
-        """Sum up the capacity of warming engines whose slots this router shares, alone and as a fraction."""
+        """Sum up the capacity of warming engines whose slots this router shares, in cores and as fraction."""
         shared = [engine for engine in healthy if engine.share_index >= 0]
         warming = [engine for engine in shared if self._warming_up(engine)]
         self.warming_capacity = sum(e.cores * self._warmup_capacity(e) / e.sharers for e in warming)
@@ -199,14 +205,14 @@
         self.warming_fraction = warming_cores / (warming_cores + warm_cores or 1.0)
 
     def sum_in_flight(self) -> list[EngineRecord]:
-        """Sum up this router's attempts in flight; return the healthy engines where there are any."""
+        """Sum up this router's attempts in flight; return the healthy engines that have any."""
         busy = [engine for engine in self.healthy_engines if engine.in_flight]
         self.threads = sum(engine.threads for engine in busy)
         self.granted = sum(engine.granted_memory for engine in busy)
         return busy
 
     def decay(self, now: float, retained: float, long_threads: int) -> None:
-        """Let learned slowdowns fade to the part ``retained``, and average what is in flight."""
+        """Decay learned slowdowns to the fraction ``retained``, and average what is in flight."""
         fill = self.granted / self.memory if self.memory else 0.0
         self.memory_fill += (1.0 - retained**0.25) * (fill - self.memory_fill)
         self.mean_long_threads += (1.0 - retained) * (long_threads - self.mean_long_threads)
--- a/grebeproxy/policy/events.py
+++ b/grebeproxy/policy/events.py
@@ -10,7 +10,7 @@
 
 
 class EngineState(Enum):
-    """What discovery says of an engine."""
+    """The state of an engine in the list of service discovery."""
 
     UP = "up"
     DRAINING = "draining"
@@ -18,7 +18,10 @@
 
 
 class ListKind(Enum):
-    """What the engines of an ``EngineList`` are: changes, the full list, one from storage, or none."""
+    """What an ``EngineList`` holds.
+
+    These are changes to the list, the full list, a list from storage, or nothing because the poll failed.
+    """
 
     CHANGES = "changes"
     FULL = "full"
@@ -27,7 +30,11 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """How an attempt ended.
+
+    ``FULL``: it was rejected for lack of capacity. ``SKIPPED``: the router did not send it or the engine did
+    not run it, because it came too late or was no longer allowed.
+    """
 
     OK = "ok"
     ERROR = "error"
@@ -45,7 +52,7 @@
 
 
 class ProgressKind(Enum):
-    """What a progress note reports."""
+    """What a progress note reports: the fraction done, MB spilled to disk, or waiting."""
 
     FRACTION_DONE = 1
     SPILLS_MB = 2
@@ -54,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """One entry of the engine list; ``started`` is the clock time of its last start, if lately."""
+    """One entry of the engine list; ``started`` is the clock time of the engine's last start, if recent."""
 
     id: str
     kind: str
@@ -67,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineList:
-    """A list from service discovery, or changes to it."""
+    """The engine list from service discovery, or changes to it."""
 
     list_kind: ListKind
     engines: tuple[Engine, ...] = ()
@@ -76,14 +83,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ManualOverridesChanged:
-    """All engines that operators have taken out: they get no new attempts, whatever the list says."""
+    """All engines that operators have disabled: they get no new attempts, whatever the list says."""
 
     engines: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """The settings from now on. Known queries keep the class that they came with."""
+    """New settings. Queries that are already known keep the class that they arrived with."""
 
     settings: Settings
 
@@ -93,7 +100,8 @@
     """A client's request.
 
     ``due`` is the clock time at which the client gives up. ``received_at`` is the clock time at which the
-    request was read, by default that of the call: it may be decided later, on a machine that is busy.
+    request was read, by default the time of the call. On a busy machine a request may wait between being
+    read and being handled.
     """
 
     id: str
@@ -111,14 +119,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has left, and waits for no answer."""
+    """The client has disconnected, and no longer waits for an answer."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How an attempt ended, after ``latency`` seconds; ``settled`` if the client has its final answer."""
+    """An attempt ended after ``latency`` seconds; ``settled`` means the client has its final answer."""
 
     id: str
     engine: str
@@ -164,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Bytes from another router."""
+    """A message from another router."""
 
     sender: int
     data: str
--- a/grebeproxy/policy/health.py
+++ b/grebeproxy/policy/health.py
@@ -1,24 +1,24 @@
-"""The health of engines: which of them get no queries, and what is learned from the ends of attempts."""
+"""The health of engines: which engines are ejected, and what the ends of attempts tell of an engine."""
 
 from grebeproxy.policy.interface import AttemptEnded, Idempotency, Outcome
 from grebeproxy.policy.records import EngineRecord, QueryRecord
 from grebeproxy.policy.rules import Rules
 
-EJECTION_FAULT_RATE = 0.3  # rate of failing attempts, above twice the fleet's own, that ejects an engine
-PROBATION_FAULT_RATE = 0.75 * EJECTION_FAULT_RATE  # of an engine taken back: its next fault ejects it
+EJECTION_FAULT_RATE = 0.3  # fraction of failed attempts, above twice the fleet's, that ejects an engine
+PROBATION_FAULT_RATE = 0.75 * EJECTION_FAULT_RATE  # fault rate on probation: the next fault ejects again
 MAX_BACKOFF_OBJECTIVES = 8  # longest ejection, in latency objectives of the tightest class
-BACKOFF_RECOVERY = 0.9  # factor on the ejection's backoff for each success
-COST_RETENTION = 0.98  # weight that earlier reports of cost keep at each new one
-MAX_COST_RATIO = 8  # most that a reported cost counts, over its estimate
-MAX_SLOWDOWN = 10.0  # most that one attempt's latency counts, in its run times
+BACKOFF_RECOVERY = 0.9  # factor on the backoff of ejections for each successful attempt
+COST_RETENTION = 0.98  # weight that earlier reports of cost keep when a new one comes
+MAX_COST_RATIO = 8  # upper limit of a reported cost over its estimate
+MAX_SLOWDOWN = 10.0  # upper limit of one attempt's latency over its run time
 FAULT_OUTCOMES = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
 
 
 class Health(Rules):
-    """The health of engines: which of them get no queries, and what is learned from attempts."""
+    """The health of engines: which engines are ejected, and what is learned from attempts."""
 
     def _accepts_queries(self, engine: EngineRecord, rank: int) -> bool:
-        """True if the engine takes queries of this rank; an ejected one gets single idempotent trials."""
+        """True if the engine gets queries of this rank; an ejected one gets single idempotent trials."""
         if engine.ejected_at is None:
             return self.now >= engine.closed_until
         if self.now < engine.trial_at or engine.in_flight or rank:
@@ -26,9 +26,10 @@
         return self.tightest_class.idempotency is Idempotency.IDEMPOTENT
 
     def _eject(self, engine: EngineRecord, proven: bool = False) -> None:
-        """Stop sending to an engine, and cancel its attempts where a retry may end sooner.
+        """Stop sending to an engine, and cancel those of its attempts whose retry may end sooner.
 
-        Unproven faults of most engines have a common cause, and ejecting these would overload the rest.
+        When most engines show unproven faults, these have a common cause, and further ejections would
+        overload the engines that are left.
         """
         healthy = sum(other.ejected_at is None for other in self.usable_engines)
         if not proven and engine.ejected_at is None and 2 * healthy <= len(self.usable_engines) + 1:
@@ -44,7 +45,7 @@
                 self.cancel(query)
 
     def _record_fault(self, engine: EngineRecord, fault: bool) -> None:
-        """Add one outcome to the moving averages of faults, the engine's and the fleet's."""
+        """Add one outcome to the moving averages of faults of the engine and of the fleet."""
         engine.fault_rate += 0.25 * (fault - engine.fault_rate)
         self.fault_rate += 0.02 * (fault - self.fault_rate)
 
@@ -70,7 +71,7 @@
             if self._is_outlier(engine):
                 self._eject(engine)
         elif fault and query.sent_at > (engine.ejected_at or 0.0):
-            self._eject(engine)  # a trial failed; attempts sent before the ejection do not prolong it
+            self._eject(engine)  # A trial failed. Attempts sent before the ejection do not prolong it.
         self._learn_latency(engine, query, ended)
         if ok:
             self._record_recovery(engine, query)
@@ -81,12 +82,12 @@
         if outcome is Outcome.RESET:
             return engine.record_reset(query.sent_at, self.now)
         if outcome is Outcome.TIMEOUT:
-            # An engine that has answered others since is loaded, not faulty.
+            # An engine that has answered another attempt since then is loaded, not faulty.
             return engine.heard_at <= query.sent_at
         return outcome in FAULT_OUTCOMES
 
     def _back_off_full(self, engine: EngineRecord) -> None:
-        """Send nothing for a doubling time: an engine that rejects at once would look idle otherwise."""
+        """Send nothing for a time that doubles; otherwise an engine that rejects at once would look idle."""
         engine.full_backoff = min(self.min_objective, 2 * engine.full_backoff) or self.sweep_interval
         engine.closed_until = self.now + engine.full_backoff
         engine.full_until = self.now + engine.full_backoff + self.min_objective
@@ -94,10 +95,10 @@
     def _attribute_error(
         self, engine: EngineRecord, query: QueryRecord, outcome: Outcome, fault: bool
     ) -> bool:
-        """Tell whether the attempt counts as a fault; an error does so only once a retry has decided it.
+        """Return whether the attempt counts as a fault; an error counts only once a retry has ended.
 
-        Some queries fail at every engine. So the first error counts against its engine when another engine
-        answers the query, or at once if there will be no retry.
+        Some queries fail on every engine. So the first error counts as a fault of its engine only when
+        another engine answers the query, or at once if there will be no retry.
         """
         first, query.error_engine = query.error_engine, None
         if outcome is Outcome.ERROR and engine.ejected_at is None and not query.answered:
@@ -112,34 +113,34 @@
         return fault
 
     def _learn_latency(self, engine: EngineRecord, query: QueryRecord, ended: AttemptEnded) -> None:
-        """Update the averages of latency over run time: the engine's, the class's and the fleet's."""
+        """Update the averages of latency over run time of the engine, the class and the fleet."""
         ok = ended.outcome is Outcome.OK
-        # Weighted by run time: short queries have priority in the engine and tell little of its load.
+        # The weight grows with run time, as short queries have priority in engines and tell little of load.
         run_time = ended.work / query.cls.threads if ended.work else query.run_time
         weight = min(0.5, max(0.02, run_time / self.min_objective / 4))
         ratio = min(MAX_SLOWDOWN, ended.latency / max(run_time, 1e-4))
-        slowdown = ratio * self._warmup_capacity(engine)  # a warming engine is slow without being loaded
+        slowdown = ratio * self._warmup_capacity(engine)  # A warming engine is slow without load.
         warming = self._warming_up(engine)
-        if ok or slowdown > self.slowdown_by_warming[warming]:  # errors come early and only raise it
+        if ok or slowdown > self.slowdown_by_warming[warming]:  # Errors end early, so they may only raise it.
             self.slowdown_by_warming[warming] += weight * (slowdown - self.slowdown_by_warming[warming])
         if ended.outcome is Outcome.CANCELLED and query.cancelled and not query.answered:
-            # Cancelled for a fresh attempt: one query may have a bad plan, but several show overload.
+            # The attempt was cancelled for a retry. One query may have a bad plan, but several show overload.
             if not query.cls.waits_for_loads:
                 self.lasting_slowdown += weight * max(0.0, slowdown - self.lasting_slowdown)
             return
-        if not ok:  # failed attempts show overload too, where there are few answers
+        if not ok:  # Failed attempts show overload too, when there are few answers.
             engine.slowdown += weight * max(0.0, slowdown - engine.slowdown)
             return
         engine.slowdown += weight * (slowdown - engine.slowdown)
         self.fleet_slowdown += weight * (slowdown - self.fleet_slowdown)
-        # Does not fade by time: the bound that goes by it lets enough through to learn from.
+        # This average does not decay with time: its bound lets enough queries through to learn from.
         self.lasting_slowdown += weight * (slowdown - self.lasting_slowdown)
         self.class_slowdown[query.rank] += 0.1 * (ratio - self.class_slowdown[query.rank])
         best = engine.best_slowdown + 0.002 * weight * (engine.slowdown - engine.best_slowdown)
         engine.best_slowdown = max(1.0, min(best, engine.slowdown))
 
     def _record_recovery(self, engine: EngineRecord, query: QueryRecord) -> None:
-        """Take an ejected engine back after a successful trial, and shorten its backoffs."""
+        """End the ejection of an engine after a successful trial, and shorten its backoffs."""
         if engine.ejected_at is not None and query.sent_at >= engine.ejected_at:
             engine.record_recovery(self.now, PROBATION_FAULT_RATE, self._warming_up(engine))
         if engine.ejection_backoff:
@@ -147,7 +148,7 @@
         engine.full_backoff = 0.0
 
     def _learn_cost(self, engine: EngineRecord, query: QueryRecord, ended: AttemptEnded) -> None:
-        """Learn the work and memory of a successful attempt; its data set is not locked there."""
+        """Learn the work and memory of a successful attempt, whose data set is not locked on the engine."""
         if ended.work:
             self.typical_work[query.rank] += 0.03 * (ended.work - self.typical_work[query.rank])
         self.learn_costs(query, ended, COST_RETENTION, MAX_COST_RATIO)
--- a/grebeproxy/policy/interface.py
+++ b/grebeproxy/policy/interface.py
@@ -1,7 +1,7 @@
 """The types that the decision module exchanges with its caller: settings, events and actions.
 
-Defined in the modules ``settings``, ``events`` and ``actions``, and imported from here. Units: times and
-clocks in seconds, memory in MB, work in core-seconds.
+The types are defined in the modules ``settings``, ``events`` and ``actions``, and imported from here. Times
+and clocks are in seconds, memory is in MB, work is in core-seconds.
 """
 
 from grebeproxy.policy.actions import (
--- a/grebeproxy/policy/lifecycle.py
+++ b/grebeproxy/policy/lifecycle.py
@@ -1,27 +1,29 @@
-"""The life of a query: accepted, retried, cancelled, rejected, ended."""
+"""The lifecycle of a query: acceptance, retries, cancellation, rejection and the final answer."""
 
 from grebeproxy.policy.interface import AttemptEnded, Fail, Idempotency, Outcome, Query, Reject, Scope
-from grebeproxy.policy.placement import MOSTLY_OWN_CHOICE, SILENCE_FACTOR
+from grebeproxy.policy.placement import INDEPENDENT_CHOICE_SIMILARITY, SILENCE_FACTOR
 from grebeproxy.policy.records import EngineRecord, Estimate, QueryRecord
 from grebeproxy.policy.release import Release
 
-FEWEST_ENGINES_TO_CHOOSE = 2  # with fewer healthy engines there is no other one for a fresh attempt
-STALLS_TO_SUSPECT = 4  # stalled queries in a row, with silence, that make an engine suspect
-SUSPECT_SILENCE = 2.0  # that silence, in objectives of the tightest class, as loads can lock all data sets
-STALL_FRACTION = 0.3  # part of its objective after which a query counts as stalled or badly planned
-STALL_RUN_TIMES = 3.0  # and expected run times: where engines are slow a fresh attempt would be slow too
-MAX_WORK_RATIO = 8  # most that one estimate of work counts, over the typical work of its class
-MIN_WORK = 1e-4  # core-seconds
-SWEEPS_BEFORE_DEADLINE = 6  # sweep intervals before its deadline at which a query is rejected at the latest
-UNSERVED_STRETCH = 2.0  # stretch of an objective's work part after which a late answer is of no use
-STALLED_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # the attempt may run on
+FEWEST_ENGINES_TO_CHOOSE = 2  # with fewer healthy engines, a retry has no other engine to go to
+STALLS_TO_SUSPECT = 4  # stalled queries in a row that make a silent engine suspect
+# Silence that ejects a suspect engine, in objectives of the tightest class. Loads can lock all data sets, so
+# this silence is not short.
+SUSPECT_SILENCE = 2.0
+STALL_FRACTION = 0.3  # fraction of its objective after which a query counts as stalled or badly planned
+STALL_RUN_TIMES = 3.0  # the same limit in expected run times, because slow engines would slow a retry too
+MAX_WORK_RATIO = 8  # upper limit of one estimate of work over the typical work of its class
+MIN_WORK = 1e-4  # lower limit of the estimated work of a query, in core-seconds
+SWEEPS_BEFORE_DEADLINE = 6  # sweep intervals before its deadline at which a query is rejected, at the latest
+UNSERVED_STRETCH = 2.0  # stretch of the work part of an objective after which an answer is useless
+STALLED_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # the attempt may still be running
 
 
 class Lifecycle(Release):
-    """The life of a query: accepted, retried, cancelled, rejected, ended."""
+    """The lifecycle of a query: acceptance, retries, cancellation, rejection and the final answer."""
 
     def _accept(self, request: Query) -> None:
-        """Queue a new query; reject it at once if it cannot be of use, or is over quota and would wait."""
+        """Queue a new query; reject it at once if its answer would be useless, or over quota under load."""
         if request.cls not in self.class_rank or request.id in self.queries:
             return
         rank = self.class_rank[request.cls]
@@ -37,7 +39,7 @@
         query.random_draw = self.draw_if_many()
         self.queries[query.id] = query
         if request.tenant in self.quotas:
-            # A client's retry spends nothing: its first attempt did, or was over quota.
+            # A client's retry spends no token, because the first attempt spent one or was over quota.
             spent = (arrived_at == received_at and not request.is_client_retry) / self.traffic_ratio
             query.over_quota = not self.quotas[request.tenant].take(self.now, spent)
         if cls.ordered_by_key and request.key is not None:
@@ -49,19 +51,19 @@
             self._reject_or_fail(query)
 
     def _estimate_work(self, request: Query, rank: int) -> float:
-        """Core-seconds that a query will take, by its own estimate if it has one; counts it in its class."""
+        """Estimate a query's core-seconds, from its own estimate if it has one; count it in its class."""
         self.class_counts[rank] += 1
         if not request.work:
             return self.typical_work[rank]
         if not self.work_corrections[rank].estimated:
-            # Until engines report work, typical work is the mean estimate; one extreme estimate is bounded.
+            # Until engines report work, typical work is the mean estimate. One extreme estimate is bounded.
             typical = self.typical_work[rank]
             change = min(request.work, MAX_WORK_RATIO * typical) - typical
             self.typical_work[rank] += change / self.class_counts[rank]
         return self.work_corrections[rank].correct(request.work)
 
     def _reject_or_fail(self, query: QueryRecord) -> None:
-        """Give the final answer: a rejection where a retry by the client is sure to be harmless."""
+        """Give the final answer: a rejection if a client's retry is certainly harmless, else a failure."""
         cls, longest = query.cls, self.settings.max_retry_after
         if query.engine is not None and self.settings.may_cancel and not query.cancelled:
             self.cancel(query)
@@ -75,21 +77,21 @@
         self.close(query)
 
     def _priority_weight(self, query: QueryRecord) -> float:
-        """Value of the query for a core-second if it is sent now; 0 if it would come too late."""
-        ahead = 0.0
+        """Value of the query per core-second if it is sent now; 0 if it would end too late."""
+        time_ahead = 0.0
         if query.key_queue:
-            before = query.key_queue[: query.key_queue.index(query)]
-            ahead = sum(other.run_time for other in before)
-        finish = self.now + (query.run_time + ahead) * self.class_slowdown[query.rank]
-        # The sweep must still come round before the deadline to reject it.
+            queries_ahead = query.key_queue[: query.key_queue.index(query)]
+            time_ahead = sum(other.run_time for other in queries_ahead)
+        finish = self.now + (query.run_time + time_ahead) * self.class_slowdown[query.rank]
+        # One more sweep must run before the deadline to reject the query in time.
         if max(finish, self.now + SWEEPS_BEFORE_DEADLINE * self.sweep_interval) > query.due:
             return 0.0
-        late = 1.0 if finish <= query.objective_at() else query.cls.late_weight_factor
+        late_factor = 1.0 if finish <= query.objective_at() else query.cls.late_weight_factor
         quota_factor = self.settings.over_quota_weight if query.over_quota else 1.0
-        return late * query.cls.priority_weight * quota_factor / query.work
+        return late_factor * query.cls.priority_weight * quota_factor / query.work
 
     def _sweep(self) -> None:
-        """On the timer: eject silent engines, cancel stalled attempts, and reject what is of no use."""
+        """On the timer, eject silent engines, cancel stalled attempts, and reject useless queries."""
         for engine in [e for e in self.engines.values() if e.in_flight or e.stalled_queries]:
             if engine.ejected_at is None and self._is_silent(engine):
                 self._eject(engine)
@@ -100,16 +102,16 @@
                 self._reject_or_fail(query)
         self.prune_keys()
         self.prune_engines()
-        if self._load_factor() > 0:  # beyond the allowed backlog the least valuable work goes first
+        if self._load_factor() > 0:  # Beyond the allowed backlog, the least valuable are rejected first.
             for query in sorted(self.releasable(), key=self._priority_weight):
                 if self.backlog() <= self.max_backlog:
                     break
                 self._reject_or_fail(query)
 
     def _is_silent(self, engine: EngineRecord) -> bool:
-        """True if nothing was heard of an engine for too long.
+        """True if the engine has been silent for too long.
 
-        A single query that waits for loads tells nothing by its silence; several in a row do.
+        The silence of a single query that waits for loads proves nothing; several stalled in a row do.
         """
         for query in engine.in_flight.values():
             silence = self.now - max(engine.heard_at, query.sent_at)
@@ -119,7 +121,7 @@
         return stalled and self.now - engine.heard_at > SUSPECT_SILENCE * self.min_objective
 
     def _sweep_attempts(self, engine: EngineRecord) -> None:
-        """Give up attempts in flight that are too late to be of use, and cancel stalled ones."""
+        """Give up attempts in flight whose answer would be useless by now, and cancel stalled attempts."""
         for query in list(engine.in_flight.values()):
             useless_at = query.objective_at(UNSERVED_STRETCH)
             if not query.answered and not query.cls.late_weight_factor and self.now > useless_at:
@@ -128,17 +130,17 @@
                 self.cancel(query)
 
     def _should_restart(self, query: QueryRecord, engine: EngineRecord) -> bool:
-        """True if a fresh attempt is allowed and likely to end sooner than a stalled or badly planned one."""
+        """True if a retry is allowed and likely to end sooner than the stalled or badly planned attempt."""
         if not self._may_restart(query):
             return False
         waited = self.now - query.sent_at
-        if self.settings.progress_period:  # compared with a fresh attempt on engines as slow as these
-            fresh = max(1.0, self.class_slowdown[query.rank], engine.slowdown)
-            return query.predicted_end - self.now > SILENCE_FACTOR * query.run_time * fresh
+        if self.settings.progress_period:  # The attempt is compared with a retry on engines that are as slow.
+            retry_slowdown = max(1.0, self.class_slowdown[query.rank], engine.slowdown)
+            return query.predicted_end - self.now > SILENCE_FACTOR * query.run_time * retry_slowdown
         if query.cls.locks_data_set or len(self.healthy_engines) < FEWEST_ENGINES_TO_CHOOSE:
-            # A load may be waiting for another load.
-            own_choice = self.peer_similarity < MOSTLY_OWN_CHOICE
-            return own_choice and waited > SILENCE_FACTOR * query.expected_latency
+            # A load may be waiting for another load, so only a long wait counts.
+            independent_choice = self.peer_similarity < INDEPENDENT_CHOICE_SIMILARITY
+            return independent_choice and waited > SILENCE_FACTOR * query.expected_latency
         slowdown = max(1.0, engine.slowdown, self.fleet_slowdown)
         expected = query.run_time * slowdown / self._warmup_capacity(engine)
         objective = query.objective_at() - query.arrived_at
@@ -146,12 +148,12 @@
             return False
         engine.stalled_queries += 1
         if query.cls.waits_for_loads and query.request.data_set is not None:
-            # A load, perhaps another router's, locks the data set: later queries avoid the engine.
+            # A load, perhaps of another router, locks the data set, so later queries avoid the engine.
             engine.lock_data_set(query.request.data_set, self.now, self.now + self.load_lock_time)
         return True
 
     def _may_restart(self, query: QueryRecord) -> bool:
-        """True if a fresh attempt is harmless, within the limits of attempts, and still of use."""
+        """True if a retry is harmless, within the limits of attempts, and still useful."""
         if query.cls.idempotency is Idempotency.NON_IDEMPOTENT or not self._may_retry(query):
             return False
         if query.attempts >= self.settings.max_attempts:
@@ -164,7 +166,7 @@
         if query is None or engine is None or query.engine is not engine:
             return
         if ended.attempt != query.attempts - 1:
-            return  # an earlier attempt, which is over
+            return  # The event is about an earlier attempt, which is already over.
         engine.record_end(query)
         engine.reported_fill = (ended.load_report or {}).get("memory_granted", engine.reported_fill)
         self._learn(engine, query, ended)
--- a/grebeproxy/policy/query_tracking.py
+++ b/grebeproxy/policy/query_tracking.py
@@ -1,6 +1,6 @@
-"""The queries of a router, and what is learned of them by class, tenant and data set.
+"""The queries of a router, and what is learned about them by class, tenant and data set.
 
-Only keeps account, and makes no decisions.
+This module holds state, and makes no decisions.
 """
 
 from __future__ import annotations
@@ -28,37 +28,40 @@
 )
 from grebeproxy.policy.records import HomeEngines, QueryRecord
 
-DEADLINE_TOLERANCE = 0.005  # difference of deadlines, as a part, that is taken for none
+DEADLINE_TOLERANCE = 0.005  # difference of deadline fractions below which they count as equal
 
 
 class QueryTracking(EngineTracking):
-    """The queries of a router: queued, in flight, and counted."""
+    """The queries of a router: those queued, those in flight, and counts of all."""
 
     def __init__(self, now: float, rate_time: float, max_data_sets: int) -> None:
-        """Average rates over ``rate_time`` seconds, and those of at most ``max_data_sets`` data sets."""
+        """Average rates over ``rate_time`` seconds; keep those of at most ``max_data_sets`` data sets."""
         super().__init__(now)
-        self.queries: dict[str, QueryRecord] = {}  # by id
-        self.key_queues: defaultdict[str, list[QueryRecord]] = defaultdict(list)  # by key, of ordered classes
-        self.key_settled_at: dict[str, float] = {}  # when no attempt of a key can still be running
-        # By rank, which is a class's place in `classes`.
-        self.classes: list[QueryClass] = []  # by objective, the tightest first
+        self.queries: dict[str, QueryRecord] = {}  # queries by id
+        # Queries of ordered classes, by order key.
+        self.key_queues: defaultdict[str, list[QueryRecord]] = defaultdict(list)
+        self.key_settled_at: dict[str, float] = {}  # clock time from which no attempt of a key can still run
+        # Lists by rank. The rank of a class is its index in `classes`.
+        self.classes: list[QueryClass] = []  # classes by latency objective, the tightest first
         self.class_rank: dict[str, int] = {}
         self.queues: list[list[QueryRecord]] = []
-        self.typical_work: list[float] = []  # core-seconds
-        self.initial_work: list[float] = []  # the same as the settings imply it
-        self.class_slowdown: list[float] = []  # latency over run time, which priorities make different
-        self.class_counts: list[int] = []  # queries accepted
+        self.typical_work: list[float] = []  # core-seconds of a typical query
+        self.initial_work: list[float] = []  # core-seconds of a typical query that the settings imply
+        self.class_slowdown: list[
+            float
+        ] = []  # latency over run time, which differs between classes by priority
+        self.class_counts: list[int] = []  # number of queries accepted
         self.work_corrections: list[CostCorrection] = []
         self.memory_corrections: list[CostCorrection] = []
         # Traffic.
-        self.quotas: dict[str, TenantQuota] = {}  # by tenant
-        self.usual_deadline_fraction = MajorityVote()  # part of the deadline left to clients' first attempts
+        self.quotas: dict[str, TenantQuota] = {}  # quotas by tenant
+        self.usual_deadline_fraction = MajorityVote()  # fraction of the deadline left at a first attempt
         self.query_rate = DecayingRate(now, rate_time)
-        self.load_run_rate = DecayingRate(now, rate_time)  # seconds that loads run, in a second
-        self.data_set_rates = RecentRates(rate_time, max_data_sets)  # queries by data set
+        self.load_run_rate = DecayingRate(now, rate_time)  # run time of arriving loads, in seconds per second
+        self.data_set_rates = RecentRates(rate_time, max_data_sets)  # queries per second by data set
         self.recent_queries = SlidingSum()
         self.recent_retries = SlidingSum()
-        # Engines needed by loads, and their order, by data set; of this moment only.
+        # The number of engines that loads need and the order of engines, by data set, valid for one refresh.
         self.home_engines: dict[int, HomeEngines] = {}
 
     def set_classes(
@@ -66,8 +69,8 @@
     ) -> None:
         """Set the classes in order of rank, with the work assumed for a typical query of each.
 
-        What was learned of a class stays with its name, its typical work only where its objective and
-        threads are the same. Queries keep the class that they came with.
+        Learned values of a class stay with its name, but its typical work is kept only if its objective and
+        threads stay the same. Queries keep the class that they arrived with.
         """
         old_ranks = [self.class_rank.get(cls.name) for cls in classes]
         typical_work = []
@@ -94,7 +97,7 @@
         self.set_kinds(kinds)
 
     def _rank_queries(self) -> None:
-        """Give known queries the ranks of their classes, or of the next class if theirs is gone."""
+        """Give known queries the ranks of their classes, or of the next class if their class is gone."""
         order = [(cls.latency_objective, cls.deadline) for cls in self.classes]
         for query in self.queries.values():
             nearest = bisect_left(order, (query.cls.latency_objective, query.cls.deadline))
@@ -108,25 +111,25 @@
         self.queues = [[query for query in queued if query.rank == rank] for rank in ranks]
 
     def set_quotas(self, quotas: dict[str, TenantQuota]) -> None:
-        """Set the tenants' quotas; one whose rate is unchanged keeps its state."""
+        """Set the tenants' quotas; a quota whose rate is unchanged keeps its state."""
         for tenant, old in self.quotas.items():
             if tenant in quotas and quotas[tenant].rate == old.rate:
                 quotas[tenant] = old
         self.quotas = quotas
 
     def count_query(self, request: Query, cls: QueryClass, work: float) -> None:
-        """Count a query in the rates of its data set, of all queries, and of the time that loads run."""
-        self.data_set_rates.latest(request.data_set, self.now).add(self.now, 1.0)
+        """Count a query in the rates of its data set, of all queries, and of the run time of loads."""
+        self.data_set_rates.most_recent(request.data_set, self.now).add(self.now, 1.0)
         self.query_rate.add(self.now, 1.0)
         if cls.locks_data_set:
             self.load_run_rate.add(self.now, work / cls.threads)
 
     def arrival_time(self, request: Query, received_at: float, deadline: float) -> float:
-        """When the client's first attempt came.
+        """Return the clock time at which the client's first attempt arrived.
 
-        Where clients do not mark their retries, a retry is known by its time: it had less than the usual part
-        of its deadline left when it was read. The time of the decision would not do: a first attempt that is
-        decided late has less time left as well.
+        If clients do not mark their retries, a retry is recognized by its time: it had less than the usual
+        fraction of its deadline left when it was read. The clock time of the decision cannot be used, because
+        a first attempt that is decided late has less time left as well.
         """
         is_retry = request.is_client_retry
         if not self.settings.clients_mark_retries:
@@ -147,9 +150,9 @@
                 correction.learn(min(actual, max_ratio * estimate), estimate, retention)
 
     def update_warming_weights(self, unseen_factor: float, heavy_queries: float) -> None:
-        """Set what a query of each class counts on warming engines, and the unit of their slots.
+        """Set the weight of a query of each class on warming engines, and the unit of their slots.
 
-        A class's initial work, times ``unseen_factor``, counts like one query beside those seen.
+        The initial work of a class, times ``unseen_factor``, counts like one query in addition to those seen.
         """
         learned = zip(self.initial_work, self.class_counts, self.typical_work, strict=True)
         self.warming_weights = [
@@ -160,7 +163,7 @@
         self.warming_unit = heavy_queries * max(seen)
 
     def releasable(self) -> list[QueryRecord]:
-        """Queued queries that wait for an engine only, not behind another one of their key."""
+        """Return the queued queries that wait only for an engine, not for another query of their key."""
         return [
             query
             for queue in self.queues
@@ -169,12 +172,12 @@
         ]
 
     def backlog(self) -> float:
-        """Seconds that the share of the engines needs for the queued work, beyond the heaviest query."""
+        """Seconds that this router's share of engines needs for the queued work minus its heaviest query."""
         work = [query.work for query in self.releasable()]
         return (sum(work) - max(work, default=0.0)) / self.cores
 
     def close(self, query: QueryRecord) -> None:
-        """The client has its answer or has left; an attempt in flight is followed to its end."""
+        """Record that the client has its answer or has left; an attempt in flight is tracked to its end."""
         query.answered = True
         if query in self.queues[query.rank]:
             self.queues[query.rank].remove(query)
@@ -183,7 +186,7 @@
         del self.queries[query.id]
         if query.key_queue:
             query.key_queue.remove(query)
-            if not query.key_queue:  # or they would accumulate, as clients keep creating new keys
+            if not query.key_queue:  # Empty queues would accumulate, as clients keep creating new keys.
                 self.key_queues.pop(query.request.key or "", None)
 
     def cancel(self, query: QueryRecord) -> None:
@@ -202,10 +205,10 @@
             query.record_progress(self.now, event.attempt, event.value)
 
     def decay(self, now: float, retained: float, long_threads: int) -> None:
-        """Let learned slowdowns fade to the part ``retained``, those of classes too."""
+        """Decay learned slowdowns, those of the classes included, to the fraction ``retained``."""
         self.class_slowdown = [1.0 + (slowdown - 1.0) * retained for slowdown in self.class_slowdown]
         super().decay(now, retained, long_threads)
 
     def prune_keys(self) -> None:
-        """Drop keys that have settled: clients keep creating new ones."""
+        """Drop keys that have settled, because clients keep creating new ones."""
         self.key_settled_at = {key: at for key, at in self.key_settled_at.items() if at > self.now}
--- a/grebeproxy/policy/records.py
+++ b/grebeproxy/policy/records.py
@@ -1,4 +1,4 @@
-"""Records of a query and of an engine. They keep account, and make no decisions."""
+"""Records of a query and of an engine. They hold state, and make no decisions."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from grebeproxy.policy.estimators import SlidingSum
 from grebeproxy.policy.interface import Engine, Query, QueryClass
 
-MIN_PROGRESS = 0.01  # least progress from which an end is extrapolated
+MIN_PROGRESS = 0.01  # lower limit of the fraction done when the end of an attempt is extrapolated
 
 
 class Estimate(NamedTuple):
-    """What a query is expected to take: work in core-seconds and memory in MB, both corrected."""
+    """What a query is expected to need: work in core-seconds and memory in MB, corrected by past errors."""
 
     work: float
     memory: float
@@ -20,8 +20,8 @@
 class HomeEngines(NamedTuple):
     """The engines that all routers prefer for the loads of a data set."""
 
-    needed: float  # how many of them the loads need
-    places: dict[str, int]  # every healthy engine's place in the agreed order, by id
+    needed: float  # number of these engines that the loads need
+    places: dict[str, int]  # place of each healthy engine in the agreed order, by id
 
 
 class QueryRecord:
@@ -40,24 +40,23 @@
         self.memory = estimate.memory
         self.run_time = estimate.work / cls.threads
         self.over_quota = False
-        self.key_queue: list[
-            QueryRecord
-        ] = []  # queries of its key in order, with itself, if its class is ordered
+        # If the class is ordered: all queries of the same key in order, this one included.
+        self.key_queue: list[QueryRecord] = []
         self.attempts = 0
-        self.random_draw = 0.0  # 0 to 1, drawn anew for each attempt
-        self.engine: EngineRecord | None = None  # of the attempt in flight
+        self.random_draw = 0.0  # random number from 0 to 1, drawn anew for each attempt
+        self.engine: EngineRecord | None = None  # engine of the attempt in flight
         self.sent_at = 0.0
         self.expected_latency = 0.0
-        self.silence_limit = 0.0  # seconds without a sign of the engine after which it is suspect
-        self.predicted_end = 0.0  # clock time, by progress notes of the attempt in flight
-        self.cancelled = False  # the attempt in flight
+        self.silence_limit = 0.0  # seconds without news from the engine after which it is suspect
+        self.predicted_end = 0.0  # clock time at which the attempt in flight ends, by its progress notes
+        self.cancelled = False  # True once the attempt in flight is cancelled
         self.answered = False
-        self.first_ran_at: float | None = None  # when the first attempt that may have run was sent
-        self.first_ran_on: EngineRecord | None = None  # and where to
+        self.first_ran_at: float | None = None  # clock time when the first attempt that may have run was sent
+        self.first_ran_on: EngineRecord | None = None  # engine of that attempt
         self.last_engine: EngineRecord | None = None
-        self.error_engine: EngineRecord | None = None  # if the last attempt ended in an error, its engine
-        self.health_checked_at: float | None = None  # when engines were last checked for it
-        self.health_checked: list[EngineRecord] = []  # and which
+        self.error_engine: EngineRecord | None = None  # engine of the last attempt, if that ended in an error
+        self.health_checked_at: float | None = None  # clock time of the last health checks for this query
+        self.health_checked: list[EngineRecord] = []  # engines that were checked then
 
     def record_progress(self, now: float, attempt: int, fraction: float) -> None:
         """Extrapolate the end of the attempt in flight from the fraction done; older attempts are ignored."""
@@ -65,9 +64,9 @@
             self.predicted_end = now + (now - self.sent_at) * (1.0 / max(MIN_PROGRESS, fraction) - 1.0)
 
     def objective_at(self, stretch: float = 1.0) -> float:
-        """Clock time at which the latency objective is missed, with its part for the work stretched."""
-        by_work = stretch * self.cls.objective_stretch * self.run_time
-        return self.arrived_at + self.cls.latency_objective + by_work
+        """Clock time when the latency objective is missed; the part for the work is scaled by ``stretch``."""
+        work_time = stretch * self.cls.objective_stretch * self.run_time
+        return self.arrived_at + self.cls.latency_objective + work_time
 
 
 class EngineRecord:
@@ -77,37 +76,37 @@
         self.entry = entry
         self.cores = cores
         self.memory = memory
-        self.in_subset = True  # one of the engines that this router works with
-        self.sharers = 1  # routers that work with it
-        self.share_index = 0  # this router's number among them; negative where that is unknown
+        self.in_subset = True  # True if this router works with the engine
+        self.sharers = 1  # number of routers that work with this engine
+        self.share_index = 0  # index of this router among the sharers; negative if unknown
         self.in_flight: dict[str, QueryRecord] = {}  # by query id
-        self.threads = 0  # of the attempts in flight, like the next two
-        self.long_threads = 0
-        self.granted_memory = 0.0
-        self.reported_fill = 0.0  # part of its memory that it last reported as granted, fading
+        self.threads = 0  # threads of the attempts in flight
+        self.long_threads = 0  # threads of the long classes' attempts in flight
+        self.granted_memory = 0.0  # MB of the attempts in flight
+        self.reported_fill = 0.0  # granted fraction of the memory by the last load report, decaying with time
         self.cached_data_sets: dict[int, None] = {}  # data sets of queries sent to it, the latest last
-        self.locked_until: dict[int, float] = {}  # data sets that loads are assumed to lock there
-        self.stalled_queries = 0  # since it was last heard
-        self.slowdown = 1.0  # latency over run time, lately
+        self.locked_until: dict[int, float] = {}  # clock time until which a data set is assumed to be locked
+        self.stalled_queries = 0  # number of stalled queries since the engine was last heard
+        self.slowdown = 1.0  # recent average of latency over run time
         self.best_slowdown = 1.0
-        self.pending_slowdown = 0.0  # the same of attempts in flight
-        self.heard_at = 0.0
-        self.full_until = 0.0  # under pressure until then, after a FULL answer
+        self.pending_slowdown = 0.0  # slowdown estimated from the attempts in flight
+        self.heard_at = 0.0  # clock time of the last answer or progress note
+        self.full_until = 0.0  # clock time until which it counts as under pressure after a FULL answer
         self.full_backoff = 0.0
-        self.closed_until = 0.0  # gets nothing until then, after a FULL answer
+        self.closed_until = 0.0  # clock time until which it gets no attempts after a FULL answer
         self.fault_rate = 0.0
-        self.last_reset_at = -1.0  # when a broken connection was last counted as a fault
+        self.last_reset_at = -1.0  # clock time when a broken connection was last counted as a fault
         self.ejected_at: float | None = None
-        self.trial_at = 0.0  # when an ejected engine may get a trial
+        self.trial_at = 0.0  # clock time from which an ejected engine may get a trial
         self.ejection_backoff = 0.0
-        self.unreachable = False  # ejected because connecting failed
-        self.health_checked_at = 0.0  # when a health check last ended
+        self.unreachable = False  # True if it was ejected because connecting failed
+        self.health_checked_at = 0.0  # clock time when a health check last ended
         self.health_check_latency = 0.0
         self.warming_since: float | None = None
         self.warming_sent = SlidingSum()  # weights of the queries sent while warming up
 
     def record_send(self, query: QueryRecord, now: float, max_cached: int) -> None:
-        """Record an attempt that is sent; at most ``max_cached`` data sets are assumed to be cached."""
+        """Record that an attempt is sent; at most ``max_cached`` data sets are assumed to be cached."""
         query.engine = self
         query.sent_at = now
         query.cancelled = False
@@ -129,13 +128,13 @@
         self.adjust_totals(query, -1)
 
     def record_restart(self, since: float, now: float) -> None:
-        """Record that the engine's process is a new one, which warms up and may be tried at once."""
+        """Record that the engine has a new process, which warms up and may get a trial at once."""
         self.warming_since = since
         self.trial_at = now
         self.cached_data_sets.clear()
 
     def record_return(self, now: float, slowdown: float) -> None:
-        """Forget the engine's faults and silence, as operators have given it back after a restart."""
+        """Forget the engine's faults and silence, because operators have restarted and enabled it again."""
         self.record_restart(now, now)
         self.ejected_at = None
         self.fault_rate = 0.0
@@ -146,9 +145,9 @@
         self.slowdown = slowdown
 
     def record_reset(self, sent_at: float, now: float) -> bool:
-        """Record that an attempt's connection broke; False if that was recorded since it was sent.
+        """Record that an attempt's connection broke; return False if a break was recorded since it was sent.
 
-        One connection that breaks ends all attempts on it, and is one fault, not one for each.
+        A broken connection ends all attempts on it. It counts as one fault, not as one for each attempt.
         """
         if sent_at <= self.last_reset_at:
             return False
@@ -156,7 +155,7 @@
         return True
 
     def record_recovery(self, now: float, fault_rate: float, warming_up: bool) -> None:
-        """Take it back after a successful trial; if it was unreachable it has restarted, and warms up."""
+        """End the ejection after a successful trial; an unreachable engine has restarted and warms up."""
         self.ejected_at = None
         self.fault_rate = fault_rate
         if self.unreachable and not warming_up:
@@ -171,20 +170,23 @@
             self.heard_at = max(self.heard_at, now)
 
     def lock_data_set(self, data_set: int, now: float, until: float) -> None:
-        """Assume that a load locks the data set here. Ended locks are dropped, or they would accumulate."""
+        """Assume that a load locks the data set on this engine.
+
+        Ended locks are dropped, because they would accumulate otherwise.
+        """
         self.locked_until = {locked: end for locked, end in self.locked_until.items() if end > now}
         self.locked_until[data_set] = until
 
     def loads_in_flight(self, data_set: int) -> int:
-        """Loads of this router in flight here that lock the data set, or wait for its lock."""
+        """Number of this router's loads in flight here that lock the data set or wait for its lock."""
         return sum(q.request.data_set == data_set and q.cls.locks_data_set for q in self.in_flight.values())
 
     def is_locked(self, now: float, data_set: int) -> bool:
-        """True if a load locks the data set here: one of this router, or one assumed after a stall."""
+        """True if a load of this router, or one that is assumed after a stall, locks the data set here."""
         return self.locked_until.get(data_set, 0.0) > now or self.loads_in_flight(data_set) > 0
 
     def decay(self, now: float, fleet_slowdown: float, retained: float) -> None:
-        """Let the slowdown fade towards the fleet's, and measure how late the attempts in flight are."""
+        """Decay the slowdown towards the fleet's, and measure how late the attempts in flight are."""
         self.slowdown = fleet_slowdown + (self.slowdown - fleet_slowdown) * retained
         self.reported_fill *= retained
         if not self.in_flight:
--- a/grebeproxy/policy/release.py
+++ b/grebeproxy/policy/release.py
@@ -1,26 +1,26 @@
-"""The order in which queued queries are sent, and when."""
+"""Release: the order in which queued queries are sent, and when each of them may be sent."""
 
 from grebeproxy.policy.interface import Overbooked, Send, SetTerms
 from grebeproxy.policy.placement import SILENCE_FACTOR, Placement
 from grebeproxy.policy.records import EngineRecord, QueryRecord
 
 BASE_PRIORITY = 1.0
-PRIORITY_GAP_MARGIN = 1.5  # gap between neighbouring classes at full load, in deadlines of waiting
-LOAD_START_DEPTH = 0.05  # queued queries per core of this router's share at which load begins
-FULL_LOAD_DEPTH = 0.5  # the same at which the load factor is 1
-MIN_SILENCE_FRACTION = 0.8  # part of its objective for which an attempt may hear nothing, however short
-PROGRESS_PERIODS = 2.2  # periods of progress notes that an attempt may miss
-MAX_QUERIES_SCANNED = 16  # queued queries of a class that are tried for one that an engine can take
-GRANT_FACTOR = 1.15  # memory granted over the estimate
-PAGING_GRANT_FACTOR = 1.5  # the same where an engine would page
-HIGHEST_PRIORITY = 3  # of an engine's priorities, 0 to 3
+PRIORITY_GAP_MARGIN = 1.5  # gap between neighbouring classes at full load, in deadlines of the tightest class
+LOAD_START_DEPTH = 0.05  # queued queries per core of this router's share where the load factor leaves 0
+FULL_LOAD_DEPTH = 0.5  # queued queries per core of this router's share at which the load factor is 1
+MIN_SILENCE_FRACTION = 0.8  # fraction of its latency objective for which even a short attempt may be silent
+PROGRESS_PERIODS = 2.2  # periods of progress notes for which an attempt may be silent
+MAX_QUERIES_SCANNED = 16  # queued queries of a class to scan for one that an engine can take
+GRANT_FACTOR = 1.15  # factor on the estimated memory to grant
+PAGING_GRANT_FACTOR = 1.5  # factor on the estimated memory where an overbooked engine pages
+HIGHEST_PRIORITY = 3  # highest priority in an engine; the lowest is 0
 
 
 class Release(Placement):
-    """The order in which queued queries are sent, and when."""
+    """Release: the order in which queued queries are sent, and when each of them may be sent."""
 
     def _load_factor(self) -> float:
-        """The load, 0 to 1, by the depth of the queues, counted in queries or in the work of typical ones."""
+        """The load from 0 to 1, by the depth of the queues in queries, or in the work of typical queries."""
         queued = self.releasable()
         work = sum(work * count for work, count in zip(self.typical_work, self.class_counts, strict=True))
         typical = work / max(1, sum(self.class_counts))
@@ -29,16 +29,16 @@
         return min(1.0, max(0.0, (depth - low) / (high - low)))
 
     def _priority(self, query: QueryRecord, load: float) -> float:
-        """Priority by class as far as there is load, and by waiting time; without load near arrival order."""
+        """Priority by class, scaled by load, and by waiting time; without load, close to arrival order."""
         waited = self.now - query.arrived_at
-        if query.rank and query.rank == self.lowest_rank:  # the lowest class gains only after a while
+        if query.rank and query.rank == self.lowest_rank:  # The lowest class gains only after a while.
             waited = max(0.0, waited - load * query.cls.latency_objective / 2)
         by_class = BASE_PRIORITY + self.priority_gap * load * self.rank_weight[query.rank]
         penalty = self.priority_gap if query.over_quota else 0.0
         return by_class + waited / self.tightest_class.deadline - penalty
 
     def _release(self) -> None:
-        """Send queued queries by priority while there is capacity; classes without any are passed over."""
+        """Send queued queries by priority while there is capacity; skip classes without capacity."""
         ranks = range(len(self.queues))
         while found := [pair for pair in map(self._first_releasable, ranks) if pair is not None]:
             load = self._load_factor()
@@ -47,7 +47,7 @@
             self._send(query, engine)
 
     def _first_releasable(self, rank: int) -> tuple[QueryRecord, EngineRecord] | None:
-        """The first queued query of a class that can be sent, and its engine."""
+        """Return the first queued query of a class that can be sent, and its engine."""
         if not self.queues[rank] or self._over_fleet_bound(rank):
             return None
         open_engines = [
@@ -56,47 +56,48 @@
             if self._accepts_queries(engine, rank) and self._has_capacity(engine, rank)
         ]
         for query in self.queues[rank][:MAX_QUERIES_SCANNED] if open_engines else ():
-            memory = query.memory  # a query beyond this router's share of an engine's waits here, not there
+            # A query that exceeds this router's share of an engine's memory waits here, not in the engine.
+            memory = query.memory
             able = [
                 e
                 for e in open_engines
                 if self._may_send(query, e)
                 and (not (e.memory and e.in_flight) or e.granted_memory * e.sharers + memory <= e.memory)
             ]
-            if able and (engine := self._choose_engine(query, able)) is not None:
-                return query, engine
+            if able and (chosen := self._choose_engine(query, able)) is not None:
+                return query, chosen
         return None
 
     def _send(self, query: QueryRecord, engine: EngineRecord) -> None:
-        """Send an attempt, and record what is expected of it."""
+        """Send an attempt, and record its expected latency and its limit of silence."""
         cls, settings = query.cls, self.settings
         query.expected_latency = query.run_time * max(1.0, engine.slowdown) / self._warmup_capacity(engine)
         longest = PROGRESS_PERIODS * (settings.progress_period or cls.deadline)
         silence = min(SILENCE_FACTOR * query.expected_latency, longest)
         query.silence_limit = max(MIN_SILENCE_FRACTION * cls.latency_objective, silence)
         if query.attempts:
-            if settings.rules.attempt_budget is not None:  # nothing prunes them without a budget
+            if settings.rules.attempt_budget is not None:  # Without a budget nothing prunes the entries.
                 self.recent_retries.add(self.now)
         elif settings.priorities or settings.memory_granted:
             self.actions.append(self._terms(query))
         cached = max(2, 2 * len(self.data_set_rates) // len(self.engines))
         engine.record_send(query, self.now, cached)
-        engine.trial_at = self.now + engine.ejection_backoff  # of the next trial, if it is ejected
+        engine.trial_at = self.now + engine.ejection_backoff  # earliest next trial of an ejected engine
         if self._warming_up(engine):
             engine.warming_sent.add(self.now, self.warming_weights[query.rank])
         self.actions.append(Send(query.id, engine.entry.id, query.due, self._retry_deadline(query)))
 
     def _terms(self, query: QueryRecord) -> SetTerms:
-        """The priority in the engine and the memory grant of a query."""
+        """Return the priority of a query in the engine, and its memory grant."""
         overbooked = self.settings.overbooked
         grant = query.memory * (PAGING_GRANT_FACTOR if overbooked is Overbooked.PAGE else GRANT_FACTOR)
-        if overbooked is Overbooked.SHRINK:  # free memory is granted too, as far as estimates scatter
+        if overbooked is Overbooked.SHRINK:  # Free memory is granted too, to the degree that estimates vary.
             scatter = 1.0 + 2 * self.memory_corrections[query.rank].spread
             grant *= max(1.0, min(scatter, 0.8 / max(self.memory_fill, 0.01)))
         if query.over_quota:
             priority = 0
         elif query.cls.locks_data_set and any(cls.waits_for_loads for cls in self.classes):
-            priority = HIGHEST_PRIORITY  # the sooner it ends, the sooner others stop waiting for its lock
+            priority = HIGHEST_PRIORITY  # The sooner a load ends, the sooner others stop waiting.
         else:
             priority = max(1, HIGHEST_PRIORITY - query.rank)
         return SetTerms(query.id, priority, grant if self.settings.memory_granted and query.memory else None)
--- a/grebeproxy/policy/settings.py
+++ b/grebeproxy/policy/settings.py
@@ -1,7 +1,7 @@
 """Settings of one router, as the decision module takes them.
 
-Units: times in seconds, memory in MB, work in core-seconds (the time that one thread would take). Optional
-parts that a deployment lacks are ``None`` or empty.
+Times are in seconds, memory is in MB, and work is in core-seconds (the time that one thread would take).
+Optional parts that a deployment lacks are ``None`` or empty.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 class SettingsValueError(GrebeproxyError, ValueError):
     """A setting that cannot be used; the text begins with the field's name.
 
-    It is also a ``ValueError``, which callers caught before it was a class of its own.
+    This class is also a ``ValueError``, because some callers catch that.
     """
 
 
@@ -28,7 +28,7 @@
 
 
 class Scope(Enum):
-    """Which engines share their memory of idempotency keys, and drop repeats together."""
+    """Which engines share the idempotency keys that they have seen, and so drop each other's repeats."""
 
     ALL = "all"
     ZONE = "zone"
@@ -36,7 +36,7 @@
 
 
 class Overbooked(Enum):
-    """What an engine does when the memory granted passes what it has."""
+    """What an engine does when it has granted more memory than it has."""
 
     WAIT = "wait"
     SHRINK = "shrink"
@@ -47,8 +47,8 @@
 class QueryClass:
     """One class of query.
 
-    Its latency objective is ``latency_objective + objective_stretch * work / threads`` seconds after the
-    first attempt of the client.
+    The latency objective of a query is ``latency_objective + objective_stretch * work / threads`` seconds
+    after the client's first attempt.
     """
 
     name: str
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptBudget:
-    """Attempts beyond the first: at most ``floor + fraction * queries`` within any ``window`` seconds."""
+    """Limit of retries: at most ``floor + fraction * queries`` within any ``window`` seconds."""
 
     window: float
     floor: float = 0.0
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The limits that the platform's rules set; a rule without values here does not apply."""
+    """The limits that the platform's rules set; a rule without values does not apply."""
 
     answer_slack: float = 0.0
     drain_grace: float = 0.0
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Costs: attempts across zones, wasted work, health checks, late failures, messages to peers."""
+    """Prices of attempts across zones, wasted work, health checks, late failures and messages to peers."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -168,7 +168,7 @@
 
 
 def _check_counts(settings: Settings) -> None:
-    """Whole numbers in their ranges, and at least one class and kind."""
+    """Check that whole numbers are in range, and that there is at least one class and one kind."""
     for name in ("balancers", "index", "max_attempts"):
         if not isinstance(getattr(settings, name), int):
             raise SettingsValueError(f"{name}: must be a whole number")
@@ -185,7 +185,7 @@
 
 
 def _check_kinds(settings: Settings) -> None:
-    """Sizes of engines."""
+    """Check the sizes of the engine kinds."""
     for kind in settings.kinds:
         if kind.cores <= 0:
             raise SettingsValueError(f"kinds[{kind.name}].cores: must be above 0")
@@ -193,7 +193,7 @@
 
 
 def _check_class(settings: Settings, cls: QueryClass) -> None:
-    """Times and weights of a class, and the engines that it is confined to."""
+    """Check the times and weights of a class, and the engines that it is confined to."""
     where = f"classes[{cls.name}]"
     for name in ("latency_objective", "deadline"):
         if getattr(cls, name) <= 0:
@@ -211,7 +211,7 @@
 
 
 def _check_unique_names(settings: Settings) -> None:
-    """No two classes, kinds or tenants of one name."""
+    """Check that no two classes, kinds or tenants have the same name."""
     for field_name in ("classes", "kinds", "tenants"):
         names = [item.name for item in getattr(settings, field_name)]
         if len(set(names)) != len(names):
@@ -219,7 +219,7 @@
 
 
 def _check_rules(rules: Rules) -> None:
-    """Limits of the rules, and the budget of attempts if there is one."""
+    """Check the limits of the rules, and the budget of retries if there is one."""
     _check_not_negative(
         "rules",
         rules,
@@ -238,7 +238,7 @@
 
 
 def _check_not_negative(where: str, item: object, *names: str) -> None:
-    """Fields that must be numbers, not NaN, and 0 or more."""
+    """Check that the named fields are numbers, not NaN, and 0 or more."""
     for name in names:
         value = getattr(item, name)
         if isinstance(value, bool) or not isinstance(value, int | float) or not value >= 0:
--- a/grebeproxy/simulator_adapter/__main__.py
+++ b/grebeproxy/simulator_adapter/__main__.py
@@ -8,7 +8,7 @@
 
 
 def main() -> int:
-    """Serve on standard input and output until the input ends; malformed input is reported in one line."""
+    """Serve on standard input and output until the input ends; report malformed input in one line."""
     try:
         SimulatorAdapter().run(sys.stdin, sys.stdout)
     except SimulatorWireError as error:
--- a/grebeproxy/simulator_adapter/adapter.py
+++ b/grebeproxy/simulator_adapter/adapter.py
@@ -1,4 +1,4 @@
-"""Reads batches of messages, keeps the instances of the decision module apart and replies to each batch."""
+"""Reads batches of messages, passes each to its instance of the decision module, and replies."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     """The messages of one moment of the simulation, between ``Mark`` and ``End``."""
 
     now: float
-    number: object  # given back with the reply
+    number: object  # number of the batch, which the reply repeats
     messages: list[Message] = field(default_factory=list)
 
 
@@ -29,8 +29,8 @@
 
     def __init__(self, factory: Callable[[api.Settings, float, int], Choice] = Choice) -> None:
         self._factory = factory
-        self._instances: dict[str, Choice] = {}  # by the dispatcher's name
-        self._ledgers: dict[int, tuple[api.Engine, ...]] = {}  # engines by the number of their set
+        self._instances: dict[str, Choice] = {}  # instances by the dispatcher's name
+        self._ledgers: dict[int, tuple[api.Engine, ...]] = {}  # lists of engines by the number of their set
 
     def run(self, source: Iterable[str], sink: TextIO) -> None:
         """Reply to batches until the input ends. Raises ``SimulatorWireError``."""
@@ -54,7 +54,7 @@
                 batch.messages.append(message)
 
     def batch(self, now: float, messages: list[Message]) -> list[Message]:
-        """The actions in answer to one batch. Raises ``SimulatorWireError`` naming the message and field."""
+        """Return the actions in answer to one batch. Raises ``SimulatorWireError`` (message and field)."""
         pending: dict[str, list[api.Event]] = {}
         for message in messages:
             name = message["msg"]
@@ -70,7 +70,7 @@
         return reply
 
     def _read(self, now: float, message: Message, pending: dict[str, list[api.Event]]) -> None:
-        """Take one message: it changes this adapter's state, or adds an event to ``pending``."""
+        """Process one message: change this adapter's state, or add an event to ``pending``."""
         name = message["msg"]
         if name == "Ledger":
             self._ledgers[message["setId"]] = tuple(map(decode.engine, message["items"]))
@@ -97,7 +97,7 @@
     def _decide(self, now: float, instance: str, events: list[api.Event]) -> list[Message]:
         try:
             messages = [encode.action(action) for action in self._instances[instance].handle(now, events)]
-        except Exception as error:  # the protocol wants any failure of the module reported
+        except Exception as error:  # The protocol requires that any failure of the module is reported.
             messages = [encode.failure(error)]
         for message in messages:
             message["who"] = instance
--- a/grebeproxy/simulator_adapter/decode.py
+++ b/grebeproxy/simulator_adapter/decode.py
@@ -1,7 +1,7 @@
-"""From the simulator's messages to the decision module's events.
+"""Translates the simulator's messages to the decision module's events.
 
-Functions raise ``KeyError`` for a field that is missing, or a value that is unknown, and ``TypeError``,
-``ValueError`` or ``AttributeError`` for one of another type.
+Functions raise ``KeyError`` for a missing field or an unknown value, and ``TypeError``, ``ValueError`` or
+``AttributeError`` for a value of the wrong type.
 """
 
 from __future__ import annotations
@@ -31,13 +31,14 @@
     "Ignored": api.Outcome.SKIPPED,
 }
 PROGRESS_KINDS = {1: api.ProgressKind.FRACTION_DONE, 2: api.ProgressKind.SPILLS_MB, 3: api.ProgressKind.WAITS}
-# A query's true cost holds its work and memory in one number: work in ms times this, plus units of memory.
-MEMORY_UNITS_PER_MS = 4096
+# A query's true cost holds its work and memory in one number: ms of work times TRUE_COST_PER_MS, plus the
+# memory in units of MB_PER_MEMORY_UNIT.
+TRUE_COST_PER_MS = 4096
 MB_PER_MEMORY_UNIT = 4
 
 
 def engine(entry: Message) -> api.Engine:
-    """One entry of an engine list."""
+    """Decode one entry of an engine list."""
     return api.Engine(
         id=entry["node"],
         kind=entry["shape"],
@@ -50,14 +51,14 @@
 
 
 def engine_list(message: Message, ledgers: Mapping[int, tuple[api.Engine, ...]]) -> api.EngineList:
-    """An engine list, whose engines came before in a ``Ledger``, by the number of its set."""
-    how = LIST_KINDS[message["mode"]]
-    engines = () if how is api.ListKind.FAILED else ledgers[message["setId"]]
-    return api.EngineList(how, engines, message.get("generation", 0))
+    """Decode an engine list; its engines are those of the earlier ``Ledger`` with the same set number."""
+    list_kind = LIST_KINDS[message["mode"]]
+    engines = () if list_kind is api.ListKind.FAILED else ledgers[message["setId"]]
+    return api.EngineList(list_kind, engines, message.get("generation", 0))
 
 
 def event(message: Message) -> api.Event | None:
-    """The event of a message in ``DECODERS``; ``None`` for progress that the module has no use for."""
+    """Decode a message in ``DECODERS``; ``None`` for progress of a kind that the decision module lacks."""
     return DECODERS[message["msg"]](message)
 
 
@@ -85,8 +86,8 @@
         outcome=OUTCOMES[message["stateCode"]],
         latency=seconds(message.get("latency")),
         settled=bool(message.get("settled")),
-        work=seconds(true_cost // MEMORY_UNITS_PER_MS) if true_cost else None,
-        memory_mb=float(true_cost % MEMORY_UNITS_PER_MS * MB_PER_MEMORY_UNIT) if true_cost else None,
+        work=seconds(true_cost // TRUE_COST_PER_MS) if true_cost else None,
+        memory_mb=float(true_cost % TRUE_COST_PER_MS * MB_PER_MEMORY_UNIT) if true_cost else None,
         load_report=load_report_from(message.get("healthInfo")),
     )
 
--- a/grebeproxy/simulator_adapter/encode.py
+++ b/grebeproxy/simulator_adapter/encode.py
@@ -1,4 +1,4 @@
-"""From the decision module's actions to the simulator's messages."""
+"""Translates the decision module's actions to the simulator's messages."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from grebeproxy.units import MS_PER_SECOND
 
 TO_ALL = "all"  # the receiver of a message to all peers
-MICROSECOND_DIGITS = 3  # of milliseconds: the simulator counts in microseconds
+MICROSECOND_DIGITS = 3  # decimal digits of milliseconds, because the simulator counts in microseconds
 
 
 def action(decided: api.Action) -> Message:
-    """The message of an action, without the instance that decided it."""
+    """Encode an action as a message, without the name of the instance that decided it."""
     match decided:
         case api.Message():
             receiver = TO_ALL if decided.to is None else decided.to
@@ -33,12 +33,12 @@
 
 
 def failure(error: Exception) -> Message:
-    """The message that reports a failure of the decision module."""
+    """Make the message that reports a failure of the decision module."""
     return {"msg": "Die", "bodyText": f"{type(error).__name__}: {error}"}
 
 
 def _on_query(decided: api.Send | api.SetTerms | api.Reject | api.Fail | api.Cancel) -> Message:
-    """The message of an action on one query."""
+    """Encode an action on one query."""
     match decided:
         case api.Send():
             return {
@@ -72,5 +72,5 @@
 
 
 def _milliseconds(value: float) -> float:
-    """Seconds in milliseconds, rounded to the microsecond."""
+    """Convert seconds to milliseconds, rounded to the microsecond."""
     return round(value * MS_PER_SECOND, MICROSECOND_DIGITS)
--- a/grebeproxy/simulator_adapter/wire.py
+++ b/grebeproxy/simulator_adapter/wire.py
@@ -1,4 +1,4 @@
-"""What both directions of the simulator's wire share. A message is one line: a JSON object with a ``msg``."""
+"""Types that both directions of the simulator's wire share. A message is a line with a JSON object."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from grebeproxy.errors import GrebeproxyError
 
-# A message as JSON. Its values are checked where it is decoded, by what the conversion of each raises.
+# A message as a JSON object. Its field ``msg`` names the message; its values are checked when decoded.
 Message = dict[str, Any]
 
 
--- a/grebeproxy/units.py
+++ b/grebeproxy/units.py
@@ -1,4 +1,4 @@
-"""Conversion between milliseconds, as in files and on wires, and seconds, as in the program."""
+"""Conversion between milliseconds, which files and wires use, and seconds, which the program uses."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def seconds(milliseconds: float | None) -> float:
-    """Milliseconds in seconds; 0 where there are none."""
+    """Convert milliseconds to seconds; ``None`` gives 0."""
     return (milliseconds or 0.0) / MS_PER_SECOND
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -122,13 +122,13 @@
 def test_a_change_of_the_list_costs_by_its_changes(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = harness_of(engines=3200, balancers=2400)
     looked: list[str] = []
-    fits = HashRing.fits
+    fits = HashRing.accepts
 
     def counted(self: HashRing, entry: Engine) -> bool:
         looked.append(entry.id)
         return fits(self, entry)
 
-    monkeypatch.setattr(HashRing, "fits", counted)
+    monkeypatch.setattr(HashRing, "accepts", counted)
     harness.receive_engine_list(
         Engine("e5", "medium", state=EngineState.DRAINING), list_kind=ListKind.CHANGES
     )
