--- a/grebeproxy/membership/__init__.py
+++ b/grebeproxy/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which routers take part, which have failed, and which of them may act while their views differ.
+"""Membership: which routers run, which have failed, and which may act while their views differ.
 
 ``Membership`` is a state machine without I/O: ``step(now, events)`` returns the effects to carry out.
 """
--- a/grebeproxy/membership/anti_entropy.py
+++ b/grebeproxy/membership/anti_entropy.py
@@ -1,6 +1,7 @@
-"""Full exchanges of facts: to join, regularly, and to heal a partition.
+"""Anti-entropy: full exchanges of facts, used to join, at regular intervals, and after a partition.
 
-Two members compare digests of all that they hold, and send each other everything if these differ.
+Two members compare digests of the facts that they hold. If the digests differ, each sends the other all of
+its facts.
 """
 
 from __future__ import annotations
@@ -10,14 +11,14 @@
 from grebeproxy.membership.member_table import MemberTable
 from grebeproxy.membership.model import Address, Message
 
-JOIN_INTERVAL = 2.0  # periods between attempts to reach the seeds while no other member is known
-JOIN_FANOUT = 3  # seeds that are tried in one attempt
-SYNC_INTERVAL = 20.0  # mean of periods between exchanges with a random member
-HEAL_INTERVAL = 8.0  # mean of periods between attempts to reach a failed member or an unknown seed
+JOIN_INTERVAL = 2.0  # periods between two attempts to reach seeds while no other member is known
+JOIN_FANOUT = 3  # seeds tried in one attempt
+SYNC_INTERVAL = 20.0  # mean number of periods between exchanges with a random member
+HEAL_INTERVAL = 8.0  # mean number of periods between attempts to reach a failed member or an unknown seed
 
 
 class AntiEntropy:
-    """Requests full exchanges and answers those of others."""
+    """Requests full exchanges of facts, and answers the requests of other members."""
 
     def __init__(self, context: Context, table: MemberTable, dissemination: Dissemination) -> None:
         self._context = context
@@ -25,13 +26,13 @@
         self._dissemination = dissemination
 
     def random_delay(self, interval: float) -> float:
-        """Seconds until a timer of this mean interval, which is in periods."""
+        """Return a random delay in seconds for a timer with this mean interval in periods."""
         return interval * self._context.config.period * (0.5 + self._context.rng.random())
 
     # --- timers
 
     def join(self) -> None:
-        """Timer: try seeds until another member is known."""
+        """Timer: request an exchange with some seeds until another member is known."""
         context = self._context
         if len(self._table.others()):
             return
@@ -47,13 +48,16 @@
         self.sync_once()
 
     def sync_once(self) -> None:
-        """Exchange facts with a random member, and leave the timer as it is."""
+        """Exchange facts with a random member without scheduling the timer again."""
         others = self._table.others()
         if others:
             self._request_sync(self._context.rng.choice(others).address)
 
     def heal(self) -> None:
-        """Timer: try a failed member or a seed, as nobody else reports that a partition has healed."""
+        """Timer: request an exchange with a failed member or an unknown seed.
+
+        Without these attempts, neither side of a partition would notice that it has healed.
+        """
         context = self._context
         context.timers.schedule(context.now + self.random_delay(HEAL_INTERVAL), self.heal)
         self._table.forget_expired()
@@ -66,14 +70,17 @@
     # --- messages
 
     def on_sync(self, message: Message) -> None:
-        """Another member wants to exchange facts."""
+        """Answer a request to exchange facts: send all facts and a digest if the digests differ."""
         digest = self._table.digest()
         if message.digest != digest:
             self._dissemination.send_all_facts(message.sender.address)
             self._dissemination.send_digest(message.sender.address, digest)
 
     def on_digest(self, message: Message) -> None:
-        """Another member has sent all its facts, and misses some of those held here if its digest differs."""
+        """Handle the digest that ends another member's facts.
+
+        If it differs from the digest of this router, the other member misses some facts and is sent all.
+        """
         if message.digest != self._table.digest():
             self._dissemination.send_all_facts(message.sender.address)
 
--- a/grebeproxy/membership/lease/__init__.py
+++ b/grebeproxy/membership/lease/__init__.py
@@ -1,20 +1,22 @@
-"""Leases: the right to do what only one router may do, granted by a majority of the configured fleet.
+"""Leases on tasks that only one router may do, granted by a majority of the configured fleet.
 
 A candidate requests the votes of all members under a ballot. A voter that grants its vote promises to
 vote for nobody else until the lease's length has passed on the voter's own clock. The holder counts the
-same length from before it sent its requests, less ``MAX_CLOCK_DRIFT``: its lease therefore ends before any
-of its voters is free again, however long the messages took. The ballot and the holder's name are the fencing
-token. Any two majorities share a voter, and a voter grants no ballot below one that it has promised, so
-tokens grow from holder to holder. A holder whose renewals are denied for a higher ballot renews above it, so
-its token may grow while it holds the lease.
+lease's length, shortened by the fraction ``MAX_CLOCK_DRIFT``, from the time at which it sent its requests.
+Its lease therefore ends before any of its voters may vote for another router, however long the messages took.
 
-Assumptions: the clocks of two routers differ in rate by less than ``MAX_CLOCK_DRIFT``; each name runs as one
-process, or duplicate processes of a name hear of each other before either votes. Nothing is stored across
-a restart: a voter that starts, or that learns of a duplicate of itself, does not vote until every promise
-that an earlier or other process of its name may have given has expired.
+The ballot and the holder's name form the fencing token. Any two majorities share a voter, and a voter grants
+no ballot below one that it has promised, so each holder has a higher token than the holder before it. A
+holder whose renewals are denied because of a higher ballot renews with a ballot above that one, so its token
+may grow while it holds the lease.
 
-``Leases.step(now, events)`` is the whole interface; it returns effects and does no I/O. ``Fence`` belongs
-where the work that a lease protects takes effect.
+Two assumptions must hold. The clocks of two routers differ in rate by less than ``MAX_CLOCK_DRIFT``. Each
+name runs as one process, or duplicate processes of a name hear of each other before either votes. Nothing is
+stored across a restart: a voter that starts, or that learns of a duplicate of itself, does not vote until
+every promise that another process of its name may have given has expired.
+
+A router calls ``Leases.step(now, events)``, which returns effects and does no I/O. The receiver of the work
+that a lease protects checks each fencing token with a ``Fence``.
 """
 
 from grebeproxy.membership.lease.candidate import RENEW_FRACTION, RETRY_FRACTION, Claim
--- a/grebeproxy/membership/lease/config.py
+++ b/grebeproxy/membership/lease/config.py
@@ -1,4 +1,4 @@
-"""Settings and limits of leases, and the state that the parts of one router share."""
+"""Settings and limits of leases, and the state that a router's voter and candidate share."""
 
 from __future__ import annotations
 
@@ -8,19 +8,22 @@
 from grebeproxy.membership.lease.messages import Effect
 from grebeproxy.membership.model import MAX_SECONDS, InvalidSettingError, View
 
-MAX_CLOCK_DRIFT = 0.02  # greatest difference in rate between two clocks, as a fraction
-MAX_LEASES = 64  # leases for which a router votes, and leases that it may want, at most
-MAX_BALLOT = 2**53
+MAX_CLOCK_DRIFT = 0.02  # greatest difference in rate between the clocks of two routers, as a fraction
+MAX_LEASES = 64  # most leases that a router votes for, and most that it claims
+MAX_BALLOT = 2**53  # higher ballots are invalid
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseConfig:
-    """Who takes part in leases. Raises ``InvalidSettingError`` (a ``ValueError``) for an unusable length."""
+    """The settings of one router's leases.
 
-    name: str  # of this router
-    instance: int  # random number of this process
-    fleet: int  # configured routers: more than half of them are a majority
-    length: float  # of a lease in seconds; the same at all routers
+    Raises ``InvalidSettingError`` (a ``ValueError``) if the length is out of its bounds.
+    """
+
+    name: str  # name of this router
+    instance: int  # random number that identifies this process
+    fleet: int  # number of configured routers; more than half of them are a majority
+    length: float  # seconds that a lease lasts; all routers have the same setting
 
     def __post_init__(self) -> None:
         """Check the length."""
@@ -30,7 +33,10 @@
 
 @dataclass(slots=True)
 class LeaseContext:
-    """What a router's voter and candidate share. ``effects`` collects those of the current step."""
+    """The state that a router's voter and candidate share.
+
+    ``effects`` collects the effects of the current step.
+    """
 
     config: LeaseConfig
     rng: Random
--- a/grebeproxy/membership/lease/leases.py
+++ b/grebeproxy/membership/lease/leases.py
@@ -1,4 +1,4 @@
-"""One router's part in all leases, as a state machine without I/O."""
+"""The state machine of all leases at one router. It does no I/O."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Leases:
-    """One router as a voter and as a candidate. Times are seconds on the local monotonic clock."""
+    """One router's voter and candidate. Times are seconds on the local monotonic clock."""
 
     def __init__(self, config: LeaseConfig, rng: Random, now: float) -> None:
         view = View(0, (config.name,), Condition.ALONE, now)
@@ -36,15 +36,18 @@
 
     @property
     def instance(self) -> int:
-        """The random number of this process."""
+        """The random number that identifies this process."""
         return self._context.config.instance
 
     def token(self, lease: str, now: float) -> Token | None:
-        """The token under which the lease is held at ``now``, to be checked before each act."""
+        """Return the token of a lease, or ``None`` if this router does not hold the lease at ``now``.
+
+        The holder must call this before each piece of work that the lease protects.
+        """
         return self._candidate.token(lease, now)
 
     def promise(self, lease: str) -> Promise | None:
-        """The latest promise that this router has given for a lease; it may have expired."""
+        """Return the latest promise that this router has given for a lease; it may have expired."""
         return self.voter.promise(lease)
 
     def step(self, now: float, events: Iterable[Event]) -> list[Effect]:
@@ -65,7 +68,7 @@
                 self._on_vote(event)
             case ViewUpdated(view, duplicate):
                 self._context.view = view
-                if duplicate:  # it may vote as well, under the same name
+                if duplicate:  # The duplicate process may vote as well, under the same name.
                     self.voter.suspend()
             case LeaseWanted(lease, wanted):
                 self._candidate.want(lease, wanted)
@@ -88,7 +91,7 @@
 
     def _send(self, to: str, vote: Vote) -> None:
         config = self._context.config
-        if to == config.name:  # a router's vote for itself needs no datagram
+        if to == config.name:  # A router's vote for itself needs no datagram.
             self._on_vote(VoteReceived(config.name, config.instance, vote))
         else:
             self._context.effects.append(SendVote(to, vote))
--- a/grebeproxy/membership/lease/messages.py
+++ b/grebeproxy/membership/lease/messages.py
@@ -10,7 +10,7 @@
 
 
 class Token(NamedTuple):
-    """A fencing token. Tokens are ordered, and no two holders of a lease have the same one."""
+    """A fencing token. Tokens are ordered by ballot and then holder, and no two holders have the same one."""
 
     ballot: int
     holder: str
@@ -19,17 +19,18 @@
 class VoteKind(IntEnum):
     """What a vote message is for. The values are those on the wire."""
 
-    REQUEST = 1  # vote for the sender under this ballot
-    GRANT = 2  # the vote is given, from when the request arrived
-    DENY = 3  # not under this ballot: the vote is promised, or the ballot is not above ``ballot``
-    RELEASE = 4  # the sender does not need the vote any longer
+    REQUEST = 1  # asks the receiver to vote for the sender under this ballot
+    GRANT = 2  # gives the vote, from the time at which the request arrived
+    DENY = 3  # refuses the vote: it is promised already, or the request does not exceed ``ballot``
+    RELEASE = 4  # returns a vote that the sender does not need any longer
 
 
 @dataclass(frozen=True, slots=True)
 class Vote:
     """One vote message.
 
-    An answer repeats the ``request_number`` of its request, which tells it from answers to earlier requests.
+    An answer repeats the ``request_number`` of its request, so that the candidate can tell it from answers to
+    earlier requests.
     """
 
     kind: VoteKind
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteReceived:
-    """A vote message arrived from a member, given by name and instance."""
+    """A vote message arrived from the process ``instance`` of the member ``sender``."""
 
     sender: str
     instance: int
@@ -52,9 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewUpdated:
-    """There is a new view of the members.
+    """The view of the members has changed.
 
-    ``duplicate``: another process of this router's name was heard of.
+    ``duplicate`` tells whether this router has heard of another process of its own name.
     """
 
     view: View
@@ -63,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseWanted:
-    """This router wants to hold a lease, or does not any longer."""
+    """This router wants to hold a lease, or does not want it any longer."""
 
     lease: str
     wanted: bool = True
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenRejected:
-    """Work under the lease was rejected where it takes effect, because ``token`` was seen there."""
+    """The receiver of work under the lease rejected it, because it has seen the higher ``token``."""
 
     lease: str
     token: Token
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Woken:
-    """The time requested with ``Wake`` has come."""
+    """The time that a ``Wake`` effect requested has come."""
 
 
 Event = Union[VoteReceived, ViewUpdated, LeaseWanted, TokenRejected, Woken]
@@ -98,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
-    """The lease is held under that token from now on, for as long as ``Leases.token`` returns it."""
+    """This router holds the lease under that token for as long as ``Leases.token`` returns a token."""
 
     lease: str
     token: Token
@@ -106,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseLost:
-    """The lease is not held any longer."""
+    """This router does not hold the lease any longer."""
 
     lease: str
 
--- a/grebeproxy/membership/lease/voter.py
+++ b/grebeproxy/membership/lease/voter.py
@@ -7,18 +7,17 @@
 from grebeproxy.membership.lease.config import MAX_BALLOT, MAX_CLOCK_DRIFT, MAX_LEASES, LeaseContext
 from grebeproxy.membership.lease.messages import Vote, VoteKind, VoteReceived
 
-# Lease lengths for which a promise's ballot is remembered after the promise has expired.
-PROMISE_RETENTION = 100
+PROMISE_RETENTION = 100  # lease lengths for which a promise is remembered after it has expired
 
 
 @dataclass(slots=True)
 class Promise:
-    """The vote that was granted for one lease: to which process, and until when."""
+    """A granted vote for one lease: the process that it was granted to, and the time at which it expires."""
 
     ballot: int = 0
     holder: str = ""
     instance: int = 0
-    until: float = 0.0
+    until: float = 0.0  # on the voter's own clock
 
 
 class Voter:
@@ -27,19 +26,19 @@
     def __init__(self, context: LeaseContext) -> None:
         self._context = context
         self._promises: dict[str, Promise] = {}
-        self.votes_from = 0.0  # no vote is granted before this time
-        self.suspend()  # an earlier process of this name may have given promises just before it ended
+        self.votes_from = 0.0  # time before which no vote is granted
+        self.suspend()  # An earlier process of this name may have given promises just before it ended.
 
     def promise(self, lease: str) -> Promise | None:
-        """The latest promise for a lease, which may have expired."""
+        """Return the latest promise for a lease; it may have expired."""
         return self._promises.get(lease)
 
     def suspend(self) -> None:
-        """Grant no vote until all promises of other processes of this name have expired."""
+        """Grant no vote until all promises that other processes of this name may have given have expired."""
         self.votes_from = self._context.now + self._context.config.length * (1.0 + MAX_CLOCK_DRIFT)
 
     def answer(self, event: VoteReceived) -> Vote:
-        """Grant a request, or deny it with the ballot that has to be exceeded."""
+        """Grant a request, or deny it with the ballot that the next request has to exceed."""
         vote = event.vote
         now = self._context.now
         if not 0 < vote.ballot <= MAX_BALLOT:
@@ -56,7 +55,7 @@
         return replace(vote, kind=VoteKind.GRANT)
 
     def release(self, event: VoteReceived) -> None:
-        """End a promise whose holder does not need it any longer."""
+        """End a promise that its holder has released."""
         promise = self._promises.get(event.vote.lease)
         if promise is None or promise.instance != event.instance:
             return
@@ -64,7 +63,7 @@
             promise.until = min(promise.until, self._context.now)
 
     def forget_old_promises(self) -> None:
-        """Bound the memory: ballots are remembered long after their lease ended, but not forever."""
+        """Forget the promises that expired more than ``PROMISE_RETENTION`` ago, to bound the memory used."""
         retention = PROMISE_RETENTION * self._context.config.length
         now = self._context.now
         self._promises = {
--- a/grebeproxy/membership/member_table.py
+++ b/grebeproxy/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The facts that a router holds on all members, and how facts from others change them."""
+"""The facts that a router holds about all members, and the merging of facts that others send."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 from grebeproxy.membership.probe_order import ProbeOrder
 from grebeproxy.membership.suspicion import Suspicion, shortest_suspicion
 
-# Periods for which a failed member is remembered: older facts may still be on their way.
+# Periods for which a failed member is remembered. An older fact that arrives late could otherwise bring the
+# member back.
 FAILED_RETENTION = 120.0
-MAX_MEMBERS_FACTOR = 4  # names known at most, in sizes of the configured fleet with one more router
-# A duplicate process of this name that keeps claiming it is tolerated this often within so many periods.
-MAX_NAME_CONFLICTS = 3
-NAME_CONFLICT_WINDOW = 20.0
-DEADLINE_TOLERANCE = 1e-9  # seconds: a timer may be due just before a deadline that was computed anew
+MAX_MEMBERS_FACTOR = 4  # most names known, as a multiple of the configured fleet plus one router
+MAX_NAME_CONFLICTS = 3  # conflicts over this router's name that are tolerated within the window
+NAME_CONFLICT_WINDOW = 20.0  # periods
+# Seconds by which a timer may be early. Rounding may put it just before a deadline that is computed again.
+DEADLINE_TOLERANCE = 1e-9
 FACT_DIGEST_BYTES = 8
 
 
 class MemberTable:
-    """The facts by name. All changes of them pass through ``merge`` and ``forget_expired``."""
+    """The facts by member name. Facts about other members change only in ``merge`` and ``forget_expired``."""
 
     def __init__(
         self, context: Context, instance: int, gossip_queue: GossipQueue, probe_order: ProbeOrder
@@ -31,30 +32,30 @@
         config = context.config
         self.me = Fact(config.name, config.address, instance, 0, State.ALIVE)
         self.facts: dict[str, Fact] = {config.name: self.me}
-        self.changed = False  # since the view was last computed
-        self.name_conflicts = 0  # how often another process of this name was heard of
+        self.changed = False  # whether facts have changed since the view was last computed
+        self.name_conflicts = 0  # number of times that another process of this name was heard of
         self._context = context
         self._gossip_queue = gossip_queue
         self._probe_order = probe_order
         self._max_names = MAX_MEMBERS_FACTOR * config.fleet + MAX_MEMBERS_FACTOR
         self._suspicions: dict[str, Suspicion] = {}
-        self._remembered_until: dict[str, float] = {}  # of members that failed or left
+        self._remembered_until: dict[str, float] = {}  # by name, for members that failed or left
         self._conflict_times: list[float] = []
 
     # --- reading
 
     def others(self) -> list[Fact]:
-        """The other members that have neither failed nor left."""
+        """Return the facts about other members that have neither failed nor left."""
         name = self.me.name
         return [fact for fact in self.facts.values() if fact.name != name and fact.state < State.DEAD]
 
     def failed(self) -> list[Fact]:
-        """The members that failed and are still remembered."""
+        """Return the facts about members that have failed and are still remembered."""
         remembered = (self.facts[name] for name in self._remembered_until)
         return [fact for fact in remembered if fact.state is State.DEAD]
 
     def digest(self) -> int:
-        """A number that is the same for the same members in the same states."""
+        """Return a hash of the members that have neither failed nor left, and of their states."""
         combined = 0
         for fact in self.facts.values():
             if fact.state < State.DEAD:
@@ -65,13 +66,13 @@
     # --- changing
 
     def merge(self, fact: Fact) -> None:
-        """Take in one fact if it outranks what is held."""
+        """Store a fact if its rank is higher than that of the stored fact about the same member."""
         if fact.name == self.me.name:
             self._refute(fact)
             return
         current = self.facts.get(fact.name)
         if current is None:
-            # The end of an unknown member changes nothing, and the number of names is bounded.
+            # A failure or leave of an unknown member changes nothing. The number of names is bounded.
             if fact.state >= State.DEAD or len(self.facts) >= self._max_names:
                 return
         elif fact.rank <= current.rank:
@@ -91,22 +92,22 @@
             self._on_ended(fact, current)
 
     def suspect(self, name: str) -> None:
-        """Suspect a member that did not answer, on this router's own account."""
+        """Suspect a member that did not answer a probe of this router."""
         fact = self.facts.get(name)
         if fact is not None and fact.state < State.DEAD:
             self.merge(replace(fact, state=State.SUSPECT, suspected_by=self.me.name))
 
     def leave(self) -> None:
-        """Mark this router as left in what it sends."""
+        """Mark this router as left in the fact that it sends about itself."""
         self.me = replace(self.me, state=State.LEFT)
 
     def extend_suspicions(self, seconds: float) -> None:
-        """Do not count a time during which this process was paused."""
+        """Extend all suspicions by a time during which this process was paused."""
         for suspicion in self._suspicions.values():
             suspicion.started_at += seconds
 
     def forget_expired(self) -> None:
-        """Forget the members that failed or left long ago."""
+        """Forget the members whose failure or leave has been remembered for long enough."""
         now = self._context.now
         for name in [name for name, until in self._remembered_until.items() if until <= now]:
             del self._remembered_until[name]
@@ -141,7 +142,7 @@
         self._schedule_deadline(fact.name, suspicion)
 
     def _confirm_suspicion(self, fact: Fact, current: Fact) -> None:
-        """Shorten a suspicion that another member came to as well."""
+        """Shorten a suspicion that another member confirms."""
         if fact.rank != current.rank or fact.state is not State.SUSPECT:
             return
         suspicion = self._suspicions.get(fact.name)
@@ -157,13 +158,13 @@
         fact = self.facts.get(name)
         if fact is None or self._suspicions.get(name) is not suspicion:
             return
-        if self._context.now < suspicion.deadline() - DEADLINE_TOLERANCE:  # it was extended meanwhile
+        if self._context.now < suspicion.deadline() - DEADLINE_TOLERANCE:  # The deadline was extended.
             self._schedule_deadline(name, suspicion)
         else:
             self.merge(replace(fact, state=State.DEAD))
 
     def _refute(self, fact: Fact) -> None:
-        """Refute what others hold of this router, or of an earlier process of its name."""
+        """Refute a wrong fact about this router, or a fact about another process of its name."""
         mine = (self.me.incarnation, self.me.instance)
         theirs = (fact.incarnation, fact.instance)
         if theirs < mine or (theirs == mine and fact.state is State.ALIVE):
@@ -177,10 +178,11 @@
         self._gossip_queue.add(self.me)
 
     def _yields_name(self, fact: Fact) -> bool:
-        """Count another process of this name. True if this one has to yield to it.
+        """Record a conflict with another process of this name. Return True if this process yields the name.
 
-        The facts of a former process are refuted once. A process that runs refutes in its turn, so after some
-        conflicts the one of the lower instance yields.
+        The facts of a former process need to be refuted only once. A duplicate process that still runs
+        refutes in its turn, so the conflict repeats. After ``MAX_NAME_CONFLICTS`` the process with the lower
+        instance yields.
         """
         context = self._context
         since = context.now - NAME_CONFLICT_WINDOW * context.config.period
--- a/grebeproxy/membership/model.py
+++ b/grebeproxy/membership/model.py
@@ -13,9 +13,9 @@
 
 Address = tuple[str, int]
 
-MAX_NAME_BYTES = 32  # longest name, encoded, that the codec carries
-MAX_SECONDS = 3600.0  # every configured time lies below this
-MAX_HELPERS = 16  # members that are sent a ping-req for one probe, at most
+MAX_NAME_BYTES = 32  # greatest length of a name in UTF-8
+MAX_SECONDS = 3600.0  # upper bound of every configured time, exclusive
+MAX_HELPERS = 16  # most members that may be sent a ping-req for one probe
 
 
 class MembershipError(GrebeproxyError):
@@ -25,7 +25,7 @@
 class InvalidSettingError(MembershipError, ValueError):
     """A setting of membership or leases is out of its bounds; the text names the field and the bounds.
 
-    It derives from ``ValueError`` too, for callers that catch that.
+    The class also derives from ``ValueError``, so that callers may catch that class instead.
     """
 
 
@@ -43,7 +43,7 @@
     """A statement about one member.
 
     ``instance`` is a random number that tells processes of one name apart. Only the member itself raises its
-    ``incarnation``, to refute what others hold of it. ``suspected_by`` names the member that suspects it.
+    ``incarnation``, to refute wrong facts about it. ``suspected_by`` names the member that suspects it.
     """
 
     name: str
@@ -55,55 +55,60 @@
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Of two facts on one name the one of higher rank wins, so the order of merging does not matter."""
+        """The precedence of this fact. Of two facts about one member the fact of the higher rank wins.
+
+        The result of merging facts therefore does not depend on their order.
+        """
         return self.incarnation, self.instance, int(self.state)
 
 
 class Kind(IntEnum):
-    """What a message is for. The values are those on the wire."""
+    """The purpose of a message. The values are those on the wire."""
 
-    PING = 1  # to be answered with an ack of the same number
-    ACK = 2  # answers a ping, or a ping-req whose target answered
-    PING_REQ = 3  # requests a ping of ``target``
-    NACK = 4  # answers a ping-req whose target did not answer
-    GOSSIP = 5  # carries facts alone
-    SYNC = 6  # begins a full exchange: answered with all facts and a digest if ``digest`` differs
-    DIGEST = 7  # ends that answer: answered with all facts if ``digest`` still differs
+    PING = 1  # is answered with an ack of the same number
+    ACK = 2  # answers a ping, or a ping-req whose target has answered
+    PING_REQ = 3  # asks the receiver to ping ``target``
+    NACK = 4  # answers a ping-req whose target has not answered in time
+    GOSSIP = 5  # carries facts only
+    SYNC = 6  # begins a full exchange; is answered with all facts and a DIGEST if ``digest`` differs
+    DIGEST = 7  # ends the answer to a SYNC; is answered with all facts if ``digest`` still differs
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One datagram. ``sender`` is the sender's fact about itself, with the address at which it is reached."""
+    """One datagram. ``sender`` is the sender's fact about itself, which holds its address."""
 
     kind: Kind
     sender: Fact
-    number: int = 0  # tells to which ping or ping-req an answer belongs
+    number: int = 0  # number of a ping or ping-req, which its answer repeats
     target: str = ""
     digest: int = 0
     facts: tuple[Fact, ...] = ()
 
 
 class Condition(Enum):
-    """How far a view may be acted on, from least to most."""
+    """How far a router may rely on its view, from least to most."""
 
-    ALONE = "alone"  # no other member is known to run, or this process was paused just now
-    MINORITY = "minority"  # half of the configured fleet or fewer, or a bad health score
-    QUORATE = "quorate"  # more than half of the configured fleet
-    SETTLED = "settled"  # quorate, with nobody suspected and no change for ``Config.settle``
+    ALONE = "alone"  # no other member is known to run, or this process was paused and has not resumed yet
+    MINORITY = (
+        "minority"  # half of the configured fleet or fewer are alive, or this process has a bad health score
+    )
+    QUORATE = "quorate"  # more than half of the configured fleet is alive
+    SETTLED = "settled"  # quorate, with no member suspected and no change for ``Config.settle``
 
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """The members as seen from here. ``epoch`` grows with each change of the members or the condition."""
+    """The members as this router sees them. ``epoch`` grows with each change of members or condition."""
 
     epoch: int
-    members: tuple[str, ...]  # sorted names, this router's included
+    members: tuple[str, ...]  # sorted names, including this router
     condition: Condition
-    since: float  # when the condition last changed
+    since: float  # time at which the condition last changed
 
     @property
     def quorate(self) -> bool:
-        """Whether more than half of the configured fleet takes part."""
+        """Whether the condition is quorate or settled: more than half of the configured fleet is alive."""
         return self.condition in (Condition.QUORATE, Condition.SETTLED)
 
 
@@ -112,19 +117,19 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message arrived and was checked by the codec."""
+    """A message has arrived, and the codec has accepted it."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Woken:
-    """The time requested with ``Wake`` has come."""
+    """The time that a ``Wake`` effect requested has come."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveRequested:
-    """This router shuts down and is to tell the others."""
+    """This router shuts down and has to tell the other members."""
 
 
 Event = Union[MessageReceived, Woken, LeaveRequested]
@@ -135,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message."""
+    """Send a message to an address."""
 
     to: Address
     message: Message
@@ -143,32 +148,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Wake:
-    """Deliver ``Woken`` at that time. Replaces an earlier ``Wake``."""
+    """Deliver ``Woken`` at the time ``at``. This replaces an earlier ``Wake``."""
 
     at: float
 
 
 @dataclass(frozen=True, slots=True)
 class ViewChanged:
-    """There is a new view."""
+    """The view has changed to ``view``."""
 
     view: View
 
 
 class NoticeKind(StrEnum):
-    """What happened to a member. The values appear in the log."""
+    """The kind of event that a notice reports. The values appear in the log."""
 
     JOINED = "joined"
-    RESTARTED = "restarted"  # another process of the name took over
+    RESTARTED = "restarted"  # another process of the member's name has taken over
     LEFT = "left"
     FAILED = "failed"
-    PAUSED = "paused"  # this process did not run for some seconds
-    DISPLACED = "displaced"  # this process yields its name to another one
+    PAUSED = "paused"  # this process did not run for some time
+    DISPLACED = "displaced"  # this process yields its name to another process
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """An event for the operators, and the member that it is about."""
+    """An event that operators see in the log, with the name of the member that it is about."""
 
     kind: NoticeKind
     name: str
@@ -176,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Displaced:
-    """Another process of this router's name goes on instead: this one must send nothing more."""
+    """This process has yielded its name to another process, and must send nothing more."""
 
 
 Effect = Union[Send, Wake, ViewChanged, Notice, Displaced]
@@ -186,20 +191,20 @@
 class Config:
     """The settings of one router. Times are in seconds.
 
-    Raises ``InvalidSettingError`` (a ``ValueError``), which names the field, for a value out of its bounds.
+    Raises ``InvalidSettingError`` (a ``ValueError``), which names the field, if a value is out of its bounds.
     """
 
     name: str
-    address: Address  # at which the others reach it
-    fleet: int  # configured routers: more than half of them are a quorum
-    seeds: tuple[Address, ...] = ()
-    period: float = 0.5  # between probes
-    timeout: float = 0.15  # of a direct ping
-    helpers: int = 3  # members that are sent a ping-req after that timeout
-    settle: float = 3.0  # without a change until a view counts as settled
+    address: Address  # address at which the other routers reach this one
+    fleet: int  # number of configured routers; more than half of them are a quorum
+    seeds: tuple[Address, ...] = ()  # addresses of routers to contact in order to join
+    period: float = 0.5  # seconds between two probes
+    timeout: float = 0.15  # seconds to wait for the ack of a direct ping
+    helpers: int = 3  # members that are sent a ping-req after the timeout
+    settle: float = 3.0  # seconds without a change until a view counts as settled
 
     def __post_init__(self) -> None:
-        """Check all bounds."""
+        """Check that all values are within their bounds."""
         if not 1 <= len(self.name.encode()) <= MAX_NAME_BYTES:
             raise InvalidSettingError(f"name: must have 1 to {MAX_NAME_BYTES} bytes")
         if self.fleet < 1:
--- a/grebeproxy/membership/probe_order.py
+++ b/grebeproxy/membership/probe_order.py
@@ -7,10 +7,10 @@
 
 
 class ProbeOrder:
-    """The members still to be probed in this round.
+    """The members that are still to be probed in the current round.
 
-    Each member is probed once in a round, in an order drawn anew for each round. No member waits longer than
-    two rounds.
+    Each member is probed once in a round, in a new random order for each round. No member therefore waits
+    longer than two rounds.
     """
 
     def __init__(self, rng: Random) -> None:
@@ -18,14 +18,17 @@
         self._names: list[str] = []
 
     def insert(self, name: str) -> None:
-        """Add a member that joined, at a random place of this round."""
+        """Insert a member that has joined at a random position of the current round."""
         self._names.insert(self._rng.randrange(len(self._names) + 1), name)
 
     def pop(self) -> str | None:
-        """The next name, which may have failed since; ``None`` at the end of the round."""
+        """Remove and return the next name, or ``None`` at the end of the round.
+
+        The member of that name may have failed or left since the round began.
+        """
         return self._names.pop() if self._names else None
 
     def begin_round(self, names: Iterable[str]) -> None:
-        """Begin a round over all these names."""
+        """Begin a new round over these names."""
         self._names = list(names)
         self._rng.shuffle(self._names)
--- a/grebeproxy/membership/probing.py
+++ b/grebeproxy/membership/probing.py
@@ -1,4 +1,4 @@
-"""Failure detection: in each period one member is pinged, directly and then through others."""
+"""Failure detection: each period one member is pinged directly, and then through other members."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 from grebeproxy.membership.model import Fact, State
 from grebeproxy.membership.probe_order import ProbeOrder
 
-# Part of a period after which an unanswered probe has failed, so that this is known before the next probe.
+# Part of a period after which an unanswered probe has failed. It is below 1, so that the failure is known
+# before the next probe begins.
 PROBE_DEADLINE = 0.95
 
 
@@ -22,12 +23,12 @@
     number: int
     target: str
     ping_reqs_sent: int = 0
-    nacks_missing: int = 0  # members that were sent a ping-req and have not answered with a nack
+    nacks_missing: int = 0  # number of ping-reqs that no nack has answered yet
     answered: bool = False
 
 
 class Prober:
-    """Probes the members in turn, and suspects one that does not answer."""
+    """Probes the members in turn, and suspects each member that does not answer."""
 
     def __init__(
         self, context: Context, table: MemberTable, dissemination: Dissemination, order: ProbeOrder
@@ -39,7 +40,7 @@
         self._probe: Probe | None = None
 
     def cancel(self) -> None:
-        """Drop the current probe, because this process was paused and may have missed the answer."""
+        """Drop the current probe after a pause of this process, which may have missed the answer."""
         self._probe = None
 
     def probe_next(self) -> None:
@@ -60,7 +61,7 @@
         context.timers.schedule(deadline, partial(self._on_deadline, probe))
 
     def on_ack(self, number: int) -> None:
-        """An ack arrived, from the target itself or from a member that pinged it."""
+        """Record an ack, sent by the target itself or by a member that has pinged it."""
         probe = self._probe
         if probe is None or number != probe.number or probe.answered:
             return
@@ -69,7 +70,7 @@
         self._context.health.improve()
 
     def on_nack(self, number: int) -> None:
-        """A member that was sent a ping-req is there, but had no answer from the target."""
+        """Record a nack: a member that was sent a ping-req had no answer from the target."""
         probe = self._probe
         if probe is not None and number == probe.number:
             probe.nacks_missing = max(0, probe.nacks_missing - 1)
@@ -82,7 +83,7 @@
         return target
 
     def _pop_target(self) -> Fact | None:
-        """The next target of this round, passing over members that have ended since."""
+        """Return the next target of this round, skipping the members that have failed or left."""
         while (name := self._order.pop()) is not None:
             fact = self._table.facts.get(name)
             if fact is not None and fact.state < State.DEAD and name != self._table.me.name:
@@ -90,7 +91,7 @@
         return None
 
     def _on_timeout(self, probe: Probe) -> None:
-        """No direct answer: request indirect pings."""
+        """Request indirect pings if the target has not answered the direct ping."""
         if probe is not self._probe or probe.answered or probe.target not in self._table.facts:
             return
         others = self._table.others()
@@ -102,7 +103,10 @@
             self._dissemination.send_ping_req(helper.address, probe.number, probe.target)
 
     def _on_deadline(self, probe: Probe) -> None:
-        """No answer at all. Missing nacks may mean that messages are lost at this router."""
+        """Suspect the target if it has not answered at all.
+
+        Missing nacks worsen the health score, because they may mean that messages are lost at this router.
+        """
         if probe is not self._probe or probe.answered:
             return
         self._probe = None
--- a/grebeproxy/membership/relays.py
+++ b/grebeproxy/membership/relays.py
@@ -1,4 +1,4 @@
-"""Indirect pings: those that this router sends on request of others."""
+"""Indirect pings, which this router sends at the request of other members."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from grebeproxy.membership.member_table import MemberTable
 from grebeproxy.membership.model import Address, Message
 
-# Bound of the pings that are out on request of others, in sizes of the fleet and a few more.
+# Most indirect pings in flight: this multiple of the configured fleet, plus the extra number.
 MAX_RELAYS_FACTOR = 2
 EXTRA_RELAYS = 8
 
 
 @dataclass(slots=True)
 class Relay:
-    """A ping that another member requested."""
+    """A ping that another member has requested."""
 
     requester: Address
-    request_number: int  # of the ping-req
+    request_number: int  # number of the ping-req
     answered: bool = False
 
 
 class PingRelays:
-    """Answers each ping-req with an ack or a nack."""
+    """Pings the target of each ping-req, and answers the ping-req with an ack or a nack."""
 
     def __init__(self, context: Context, table: MemberTable, dissemination: Dissemination) -> None:
         self._context = context
@@ -35,11 +35,11 @@
         self._max_relays = MAX_RELAYS_FACTOR * context.config.fleet + EXTRA_RELAYS
 
     def clear(self) -> None:
-        """Drop all, because this process was paused and may have missed the answers."""
+        """Drop all indirect pings after a pause of this process, which may have missed the answers."""
         self._relays.clear()
 
     def on_ping_req(self, message: Message) -> None:
-        """Ping the target for another member."""
+        """Ping the target of a ping-req, unless too many indirect pings are in flight."""
         target = self._table.facts.get(message.target)
         if target is None or len(self._relays) >= self._max_relays:
             return
@@ -50,7 +50,7 @@
         context.timers.schedule(context.now + context.config.timeout, partial(self._on_timeout, number))
 
     def on_ack(self, number: int) -> None:
-        """Pass the target's answer on."""
+        """Forward the target's ack to the member that requested the ping."""
         relay = self._relays.get(number)
         if relay is not None and not relay.answered:
             relay.answered = True
--- a/grebeproxy/membership/swim.py
+++ b/grebeproxy/membership/swim.py
@@ -1,8 +1,8 @@
-"""One router's part in membership, as a state machine: it reads no clock and no socket.
+"""The membership state machine of one router: SWIM with Lifeguard's extensions.
 
-This is SWIM with Lifeguard's extensions. Each part has a module of its own: ``probing`` and ``relays`` detect
-failures, ``member_table`` merges facts, ``dissemination`` sends messages and gossip, ``anti_entropy``
-exchanges all facts, and ``view_tracker`` computes the view.
+The state machine reads no clock and no socket. ``probing`` and ``relays`` detect failures, ``member_table``
+merges facts, ``dissemination`` sends messages and gossip, ``anti_entropy`` exchanges all facts, and
+``view_tracker`` computes the view.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
 from grebeproxy.membership.relays import PingRelays
 from grebeproxy.membership.view_tracker import ViewTracker
 
-# A process that is stepped this many periods after the time it requested was paused meanwhile.
+# A step that comes more than this many periods after the requested wake-up shows that the process was paused.
 PAUSE_THRESHOLD = 4.0
-PAUSE_PENALTY = 2  # health score points that a pause costs
+PAUSE_PENALTY = 2  # points by which a pause worsens the health score
 
 
 class Membership:
-    """One router's part. ``instance`` is a random number of this process that is never used again."""
+    """One router's membership. ``instance`` is a random number of this process, never used again."""
 
     def __init__(self, config: Config, instance: int, rng: Random, now: float) -> None:
         self._context = context = Context(config, rng, now)
@@ -59,22 +59,22 @@
 
     @property
     def me(self) -> Fact:
-        """What this router sends of itself."""
+        """The fact that this router sends about itself."""
         return self.table.me
 
     @property
     def facts(self) -> dict[str, Fact]:
-        """What is held of each name, this router's included."""
+        """The facts by member name, including the fact about this router."""
         return self.table.facts
 
     @property
     def view(self) -> View:
-        """The members as seen from here."""
+        """The members as this router sees them."""
         return self._view_tracker.view
 
     @property
     def name_conflicts(self) -> int:
-        """How often another process of this router's name was heard of, a former one or a duplicate."""
+        """The number of times that another process of this name was heard of, a former one or a duplicate."""
         return self.table.name_conflicts
 
     def step(self, now: float, events: Iterable[Event]) -> list[Effect]:
@@ -83,7 +83,8 @@
         context.effects = []
         if self._wake_at is not None and now > self._wake_at + PAUSE_THRESHOLD * context.config.period:
             self._on_pause(now, now - self._wake_at)
-            self._wake_at = now  # or a message that comes before the wake-up would find the same pause again
+            # Without this assignment, each message before the wake-up would report the same pause again.
+            self._wake_at = now
         context.now = now
         for event in events:
             self._handle(event)
@@ -115,7 +116,7 @@
                 self._dissemination.announce_leave()
 
     def _on_pause(self, now: float, seconds: float) -> None:
-        """Ignore the timeouts that passed while this process was paused and could not hear any answer."""
+        """Discount the time during which this process was paused and could not hear any answer."""
         context = self._context
         context.health.degrade(PAUSE_PENALTY)
         context.resuming = True
@@ -123,18 +124,19 @@
         self._relays.clear()
         self.table.extend_suspicions(seconds)
         context.effects.append(Notice(NoticeKind.PAUSED, context.config.name))
-        # Not ``sync``, which renews itself: each pause would add another chain of that timer.
+        # ``sync`` would schedule itself again, so each pause would add another chain of that timer.
         context.timers.schedule(now, self._anti_entropy.sync_once)
 
     def _on_message(self, message: Message) -> None:
         sender = message.sender
         me = self.table.me
         if sender.name == me.name and sender.instance == me.instance:
-            return  # a message of this process that came back
+            return  # This process has received its own message.
         current = self.table.facts.get(sender.name)
         self.table.merge(sender)
         if current is not None and current.state is not State.ALIVE and current.rank >= sender.rank:
-            # The sender does not know that it is suspected or failed here, and so cannot refute it.
+            # The sender is suspected, failed or left here, and does not know it. Unless it is told, it cannot
+            # refute this.
             self._dissemination.send_facts(sender.address, (current,))
         for fact in message.facts:
             self.table.merge(fact)
--- a/grebeproxy/membership/view_tracker.py
+++ b/grebeproxy/membership/view_tracker.py
@@ -1,4 +1,4 @@
-"""The view of the members that follows from the facts."""
+"""The computation of the view from the facts."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class ViewTracker:
-    """Computes the view after each step, and reports when it differs from the last one."""
+    """Computes the view after each step, and reports each change of it."""
 
     def __init__(self, context: Context, table: MemberTable) -> None:
         name = context.config.name
         self.view = View(0, (name,), Condition.ALONE, context.now)
         self._context = context
         self._table = table
-        self._changed_at = context.now  # when the members last changed or one was suspected
+        self._changed_at = context.now  # time at which the members last changed or a member was suspected
         self._members: tuple[str, ...] = (name,)
-        self._alive = 1  # members that nobody suspects
+        self._alive = 1  # number of members that are not suspected
 
     def update(self) -> None:
-        """Report a new view if members or condition have changed."""
-        if self._table.changed:  # each message would cost a pass over all facts otherwise
+        """Report a new view if the members or the condition have changed."""
+        if self._table.changed:  # Without this check, each message would cost a pass over all facts.
             self._table.changed = False
             self._count_members()
         members = self._members
--- a/grebeproxy/membership/wire.py
+++ b/grebeproxy/membership/wire.py
@@ -1,10 +1,11 @@
-"""Datagrams between routers: a version, a keyed digest and a body in MessagePack.
+"""The codec of datagrams between routers: a version, a keyed digest and a body in MessagePack.
 
     packet = version:1 digest:16 body        body = [instance, number, settings digest, payload]
 
-The numbers of one process grow, and each is accepted once. The settings digest stands for the settings that
-must be alike at all routers; a packet with another one is rejected. Version 1 had no settings digest. A body
-may be longer than what is read here, because a later version may add fields at its end.
+The packet numbers of one process grow, and a receiver accepts each number once. The settings digest is a hash
+of the settings that must be equal at all routers; a packet with another settings digest is rejected.
+Version 1 has no settings digest. A body may have more fields than this version reads, because a later version
+may add fields at its end.
 """
 
 from __future__ import annotations
@@ -23,19 +24,19 @@
 VERSION = 2
 OLDEST_VERSION = 1
 VERSION_WITHOUT_SETTINGS = 1
-MAX_PACKET_BYTES = 1200  # of a packet, so that no network fragments it
-DIGEST_BYTES = 16  # bytes of the keyed digest
+MAX_PACKET_BYTES = 1200  # low enough that networks do not fragment a packet
+DIGEST_BYTES = 16  # length of the keyed digest
 HEADER_BYTES = 1 + DIGEST_BYTES
 MAX_NUMBER = 2**64 - 1
 MAX_PORT = 65535
 MAX_HOST_CHARACTERS = 64
-MAX_FACTS = 16  # in one message
+MAX_FACTS = 16  # most facts accepted in one message
 BODY_FIELDS = 4
-SETTINGS_FIELD = 2  # place of the settings digest in the body
+SETTINGS_FIELD = 2  # index of the settings digest in the body
 MESSAGE_FIELDS = 6
 FACT_FIELDS = 7
-REPLAY_WINDOW = 1024  # packets by which one may be late
-MAX_SENDERS = 4096  # processes whose packet numbers are remembered: those heard of most recently
+REPLAY_WINDOW = 1024  # a packet may be late by fewer packet numbers than this
+MAX_SENDERS = 4096  # processes whose packet numbers are remembered, the most recently heard ones
 
 
 class RejectReason(StrEnum):
@@ -45,8 +46,8 @@
     UNSUPPORTED_VERSION = "unsupported_version"
     WRONG_KEY = "wrong_key"
     MALFORMED = "malformed"
-    SETTINGS_MISMATCH = "settings_mismatch"  # its router is configured differently
-    REPLAYED = "replayed"  # its number was seen before, or is too old to tell
+    SETTINGS_MISMATCH = "settings_mismatch"  # the sender is configured differently
+    REPLAYED = "replayed"  # the packet number was seen before, or is too old to tell
 
 
 class WireError(MembershipError):
@@ -54,14 +55,14 @@
 
 
 class PacketTooLongError(WireError):
-    """A packet to send would be longer than ``MAX_PACKET_BYTES``."""
+    """A packet to be sent would be longer than ``MAX_PACKET_BYTES``."""
 
     def __init__(self, length: int) -> None:
         super().__init__(f"a packet of {length} bytes is longer than {MAX_PACKET_BYTES}")
 
 
 class PacketRejectedError(WireError):
-    """A received packet or payload is not accepted; ``reason`` tells why, and is the text."""
+    """A received packet or payload is not accepted. The error's text is the value of ``reason``."""
 
     def __init__(self, reason: RejectReason) -> None:
         super().__init__(reason.value)
@@ -71,16 +72,16 @@
 class PacketBody(NamedTuple):
     """The body of a packet, in the order of its fields on the wire."""
 
-    instance: int  # of the process that sent it
+    instance: int  # instance of the sending process
     number: int
     settings_digest: int
-    payload: Any  # plain values, read by the codec of its kind
+    payload: Any  # plain values, which the codec of the payload's kind reads
 
 
 class PacketCodec:
-    """Seals and opens the packets of one process.
+    """Seals the packets that one process sends, and opens the packets that it receives.
 
-    ``key`` is shared by all routers of a fleet, and ``settings_digest`` is the same at all of them.
+    All routers of a fleet share ``key`` and have the same ``settings_digest``.
     """
 
     def __init__(self, key: bytes, instance: int, settings_digest: int) -> None:
@@ -91,7 +92,7 @@
         self._windows: OrderedDict[int, ReplayWindow] = OrderedDict()
 
     def seal(self, payload: object) -> bytes:
-        """One packet. Raises ``PacketTooLongError`` if it would not fit."""
+        """Return a packet with this payload. Raises ``PacketTooLongError`` if it is too long."""
         self._number += 1
         body: bytes = msgpack.packb([self._instance, self._number, self._settings_digest, payload])
         packet = bytes([VERSION]) + self._digest(VERSION, body) + body
@@ -100,9 +101,9 @@
         return packet
 
     def open(self, packet: bytes) -> Any:
-        """The payload of a packet that was made with the key and arrives for the first time.
+        """Return the payload of a packet that was sealed with the key and arrives for the first time.
 
-        Raises ``PacketRejectedError`` for any other.
+        Raises ``PacketRejectedError`` for any other packet.
         """
         body = self._read_body(packet)
         if not _is_natural(body.instance) or not _is_natural(body.number):
@@ -143,13 +144,13 @@
 
 @dataclass(slots=True)
 class ReplayWindow:
-    """The packet numbers of one sender that have arrived."""
+    """The packet numbers of one sender that have arrived, for replay protection."""
 
     highest: int = 0
-    seen: int = 0  # one bit for each of the last ``REPLAY_WINDOW`` numbers, the lowest bit for ``highest``
+    seen: int = 0  # bit set of the last ``REPLAY_WINDOW`` numbers; the lowest bit stands for ``highest``
 
     def accept(self, number: int) -> bool:
-        """Record a number. False if it arrived before or is too old to tell."""
+        """Record a number. Return False if it has arrived before or is too old to tell."""
         if number > self.highest:
             shift = min(REPLAY_WINDOW, number - self.highest)
             self.seen = (self.seen << shift | 1) & ((1 << REPLAY_WINDOW) - 1)
@@ -169,7 +170,7 @@
 
 
 def pack_message(message: Message) -> list[object]:
-    """A message as plain values for MessagePack, in the order of the fields on the wire."""
+    """Return a message as plain values for MessagePack, in the order of the fields on the wire."""
     return [
         int(message.kind),
         _pack_fact(message.sender),
@@ -181,7 +182,7 @@
 
 
 def unpack_message(payload: object) -> Message:
-    """The message in a payload. Raises ``PacketRejectedError`` for one that makes no sense."""
+    """Return the message in a payload. Raises ``PacketRejectedError`` if the payload is malformed."""
     try:
         kind, sender, number, target, digest, facts = payload[:MESSAGE_FIELDS]  # type: ignore[index]
         _require(isinstance(facts, list) and len(facts) <= MAX_FACTS)
