--- a/grebeproxy/lab/scale/changelog_server.py
+++ b/grebeproxy/lab/scale/changelog_server.py
@@ -179,7 +179,7 @@
     def heartbeat(self) -> bytes:
         """A frame without news."""
         self._heartbeat_frames += 1
-        return frame(self._seq, changelog.NOTHING)
+        return frame(self._seq, changelog.HEARTBEAT)
 
     def subscribe(self, subscriber: Subscriber, seq: int) -> None:
         """Send the changes after that event, or the full list to a router that has none of them."""
--- a/grebeproxy/net/changelog.py
+++ b/grebeproxy/net/changelog.py
@@ -22,7 +22,7 @@
 MAX_RECORDS = 16384  # engines in one frame
 MAX_BYTES = AFTER_LENGTH + MAX_RECORDS * RECORD.size  # of a frame behind its length
 WEIGHT_SCALE = 1000  # a weight of 1 is written as this
-NOTHING, FULL, CHANGES = 0, 1, 2  # kinds of frame: a heartbeat, the full list, changes to it
+HEARTBEAT, FULL, CHANGES = 0, 1, 2  # kinds of frame: a heartbeat, the full list, changes to it
 PORT_LIMIT = 65536  # ports are below it, and above 0
 STATES = (EngineState.UP, EngineState.DRAINING, EngineState.GONE)
 STATE_NAMES = {"Ready": EngineState.UP, "Terminating": EngineState.DRAINING, "Gone": EngineState.GONE}
@@ -66,7 +66,7 @@
                 return
             records = bytes(self._buffer[HEAD.size : end])
             del self._buffer[:end]
-            yield ChangeLogUpdate(seq) if kind == NOTHING else self._update(seq, kind, records)
+            yield ChangeLogUpdate(seq) if kind == HEARTBEAT else self._update(seq, kind, records)
 
     def _update(self, seq: int, kind: int, records: bytes) -> ChangeLogUpdate:
         engines: list[Engine] = []
--- a/tests/test_lab_scale.py
+++ b/tests/test_lab_scale.py
@@ -180,7 +180,7 @@
     decoder = changelog.Decoder(settings(8, 3), lambda unix_ms: unix_ms / 1000)
     changed = EngineRecord(2, RECORDS[1].address, DRAINING)
     data = frame(1, changelog.FULL, b"".join(record.pack() for record in RECORDS))
-    data += frame(1, changelog.NOTHING) + frame(2, changelog.CHANGES, changed.pack())
+    data += frame(1, changelog.HEARTBEAT) + frame(2, changelog.CHANGES, changed.pack())
     pieces = [data[start : start + cut] for start in range(0, len(data), cut)]
     updates = [update for piece in pieces for update in decoder.feed(piece)]
     full, heartbeat, changes = updates
--- a/tests/test_subset_processes.py
+++ b/tests/test_subset_processes.py
@@ -26,7 +26,7 @@
 
 from grebeproxy import Choice, Settings
 from grebeproxy.config import parse
-from grebeproxy.net.changelog import CHANGES, FULL, HEAD, NOTHING, RECORD
+from grebeproxy.net.changelog import CHANGES, FULL, HEAD, HEARTBEAT, RECORD
 from grebeproxy.policy.interface import Engine, EngineList, EngineState, ListKind
 
 BALANCERS, INDEXES = 200, (0, 67, 121, 199)  # routers in all, and those of them that run here
@@ -167,7 +167,7 @@
         try:
             seq = int.from_bytes(await reader.readexactly(8), "big")
             while True:
-                frames = self.frames[seq:] or [self.frame(NOTHING, seq)]
+                frames = self.frames[seq:] or [self.frame(HEARTBEAT, seq)]
                 writer.write(b"".join(frames))
                 await writer.drain()
                 seq = len(self.frames)
