--- a/grebeproxy/__main__.py
+++ b/grebeproxy/__main__.py
@@ -1,9 +1,9 @@
-"""The router on sockets, as one program."""
+"""The program that runs the router on sockets."""
 
 from grebeproxy import signals
 
 if __name__ == "__main__":
-    signals.hold()  # before the other imports, which take most of the start
+    signals.block()  # before the other imports, which take most of the start-up time
 
 import logging
 import os
@@ -20,8 +20,8 @@
 def peers_service(name: str, peers_file: str | None) -> Callable[[], BackgroundService] | None:
     """A factory of the service that shares state with other routers; ``None`` without an operator file.
 
-    Imported only then, because the import takes time and memory that most routers need not spend. Raises
-    ``ConfigError`` for a file that cannot be used.
+    The service is imported only if it is used, because the import takes time and memory that most routers do
+    not have to spend. Raises ``ConfigError`` for an invalid file.
     """
     if peers_file is None:
         return None
@@ -35,7 +35,7 @@
 
 
 def main() -> int:
-    """Read the configuration and serve; a start that fails is reported in one line."""
+    """Load the configuration and serve; a failed start is reported in one line."""
     try:
         config = load(os.environ)
         background = peers_service(config.name, config.peers_file)
@@ -45,7 +45,7 @@
     logging.basicConfig(level=logging.INFO, format="%(message)s")
     try:
         run(config, lambda: load(os.environ), background)
-    except OSError as error:  # the address is in use, or not this machine's
+    except OSError as error:  # The address is in use or does not belong to this machine.
         print(f"grebeproxy: listen: {error}", file=sys.stderr)
         return EXIT_LISTEN_FAILED
     return 0
--- a/grebeproxy/config.py
+++ b/grebeproxy/config.py
@@ -1,7 +1,7 @@
-"""The one place where the router's configuration is read, checked and given defaults.
+"""Reads the router's configuration, checks it and fills in defaults.
 
-A configuration is a JSON file and the ``BALANCER_*`` variables, which take precedence over it. ``TMPDIR``
-names the folder that the processes of one router share.
+A configuration consists of a JSON file and the ``BALANCER_*`` environment variables, which take precedence.
+``TMPDIR`` names the folder that the processes of one router share.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 from grebeproxy.settings import WireLimits, settings_from, wire_limits_from
 from grebeproxy.units import seconds
 
-if TYPE_CHECKING:  # types alone, which would take time of each start
+if TYPE_CHECKING:  # imports for types only would slow down each start
     from grebeproxy.net.known_fields import KnownEvents
 
-DEFAULT_SOCKETS = 1024
+DEFAULT_SOCKETS = 1024  # descriptors
 DEFAULT_MEMORY_MB = 192.0
 MAX_DESCRIPTOR = 2**20
-# Variables that replace a key of the file.
+# Environment variables that override a key of the file.
 VARIABLE_OF_KEY = {"name": "BALANCER_NAME", "listen": "BALANCER_LISTEN", "admin": "BALANCER_ADMIN"}
-# Objects whose keys are compared one by one when the file is read again.
+# Objects whose keys are compared individually on a reload.
 COMPARED_OBJECTS = ("limits", "settings", "settings.limits", "settings.obligations")
 
-Document = Mapping[str, object]  # of the file, with nothing checked yet
+Document = Mapping[str, object]  # the unchecked contents of the file
 
 
 class ConfigError(GrebeproxyError):
-    """Configuration that cannot be used; the text begins with the faulty key or variable."""
+    """The configuration is invalid; the text begins with the faulty key or variable."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,36 +47,36 @@
     listen: Address
     changelog: Address
     seed: int
-    sockets: int  # descriptors that connections may take
+    sockets: int  # descriptors that connections may use
     memory_mb: float
-    known: KnownEvents  # the change log's events up to the start
+    known: KnownEvents  # the change log's events up to the start of the router
     settings: Settings
     limits: WireLimits
     admin: Address | None = None  # of the admin endpoint
     listen_fd: int | None = None  # the descriptor of a listening socket that the platform holds
-    folder: Path | None = None  # shared with other processes of this router
+    folder: Path | None = None  # shared by the processes of this router
     peers_file: str | None = None  # the operator file of routers that know each other
-    keys: frozenset[str] = frozenset()  # what the file held, as dotted paths
+    keys: frozenset[str] = frozenset()  # dotted paths of the keys in the file
 
     def check_against(self, earlier: Config) -> None:
-        """Raise ``ConfigError`` where a key of the earlier file is missing: the file may be cut short."""
+        """Raise ``ConfigError`` if a key of the earlier file is missing: the new file may be truncated."""
         for key in sorted(earlier.keys - self.keys):
             raise ConfigError(f"{key}: missing")
 
-    def updated_while_serving(self, fresh: Config) -> Config:
-        """This configuration, with what may change while serving taken from ``fresh``."""
+    def updated_while_serving(self, new_config: Config) -> Config:
+        """This configuration, with the parts that may change while serving taken from ``new_config``."""
         return replace(
             self,
-            changelog=fresh.changelog,
-            settings=fresh.settings,
-            limits=fresh.limits,
-            known=fresh.known,
-            keys=fresh.keys,
+            changelog=new_config.changelog,
+            settings=new_config.settings,
+            limits=new_config.limits,
+            known=new_config.known,
+            keys=new_config.keys,
         )
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """The configuration that the variables name. Raises ``ConfigError``."""
+    """Load the configuration that the environment variables name. Raises ``ConfigError``."""
     document = _read_file(environ.get("BALANCER_CONFIG"))
     for key, variable in VARIABLE_OF_KEY.items():
         if environ.get(variable):
@@ -100,7 +100,7 @@
     except ValueError as error:
         raise ConfigError(f"BALANCER_CONFIG: {path}: {error}") from None
     if not isinstance(document, dict):
-        raise ConfigError(f"BALANCER_CONFIG: {path}: must hold an object")
+        raise ConfigError(f"BALANCER_CONFIG: {path}: must contain a JSON object")
     return document
 
 
@@ -112,8 +112,8 @@
         raise ConfigError("limits: must be an object")
     sockets = int(_positive(limits, "sockets", DEFAULT_SOCKETS))
     memory_mb = _positive(limits, "memory_mb", DEFAULT_MEMORY_MB)
-    known = _known(document)
-    with _type_faults_named("settings."):
+    known = _known_events(document)
+    with _decoding_errors_as_config_errors("settings."):
         module_settings = settings_from(settings)
         wire_limits = wire_limits_from(settings)
     return Config(
@@ -131,18 +131,18 @@
     )
 
 
-def _known(document: Document) -> KnownEvents:
-    """The change log's events up to the start, checked by decoding them once."""
+def _known_events(document: Document) -> KnownEvents:
+    """The change log's events in the configuration, which are checked by decoding them once."""
     known = cast("KnownEvents", document.get("known", {"seq": 0, "results": []}))
-    with _type_faults_named("known: "):
+    with _decoding_errors_as_config_errors("known: "):
         for _ in known_events(known, seconds):
             pass
     return known
 
 
 @contextlib.contextmanager
-def _type_faults_named(prefix: str) -> Iterator[None]:
-    """Raise what decoding JSON of the wrong form runs into as ``ConfigError``, behind the prefix."""
+def _decoding_errors_as_config_errors(prefix: str) -> Iterator[None]:
+    """Convert errors from decoding JSON of a wrong form to ``ConfigError`` with the prefix."""
     try:
         yield
     except KeyError as error:
@@ -187,7 +187,7 @@
     if not value:
         return None
     if not value.isdecimal() or int(value) > MAX_DESCRIPTOR:
-        raise ConfigError("BALANCER_SOCKET_FD: must be the number of a descriptor")
+        raise ConfigError("BALANCER_SOCKET_FD: must be a file descriptor number")
     return int(value)
 
 
--- a/grebeproxy/net/__init__.py
+++ b/grebeproxy/net/__init__.py
@@ -1,1 +1,1 @@
-"""The router on sockets: codecs, the router's state machine and the runtime that carries out its effects."""
+"""The router on real sockets: codecs, the state machine, and the runtime that executes its effects."""
--- a/grebeproxy/net/admin_protocol.py
+++ b/grebeproxy/net/admin_protocol.py
@@ -1,4 +1,4 @@
-"""The admin endpoint's protocol: one line, answered by one that starts with ``ACK`` or ``NAK``."""
+"""The admin endpoint's protocol: a call is one line, and so is its answer, with ``ACK`` or ``NAK`` first."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 
 class Decoder:
-    """Splits off the first line, however the bytes are cut; what comes behind it is ignored."""
+    """Decodes the first line of a byte stream, however the stream is split; later input is ignored."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._decoded = False  # the connection's one call
+        self._decoded = False  # whether the connection's only call has been decoded
 
     @property
     def partial(self) -> int:
-        """Bytes buffered of a call that is not complete yet."""
+        """The number of buffered bytes of a call that is not complete yet."""
         return 0 if self._decoded else len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[AdminCall]:
-        """The call, once its line is complete. Raises ``BadFrameError`` for a line that is too long."""
+        """Yield the call once its line is complete. Raises ``BadFrameError`` for a line that is too long."""
         if self._decoded:
             return
         self._buffer += data
@@ -42,10 +42,10 @@
             raise BadFrameError("a line that is too long")
         if end:
             self._decoded = True
-            yield _call(line.decode("ascii", "replace"))
+            yield _decode_call(line.decode("ascii", "replace"))
 
 
-def _call(line: str) -> AdminCall:
+def _decode_call(line: str) -> AdminCall:
     match line.split():
         case [verb] if verb in ROUTER_CALLS:
             return ROUTER_CALLS[verb]
@@ -55,5 +55,5 @@
 
 
 def encode(done: bool, text: str) -> bytes:
-    """The line of an answer."""
+    """Encode the line of an answer."""
     return f"{'ACK' if done else 'NAK'} {text}\n".encode()
--- a/grebeproxy/net/changelog.py
+++ b/grebeproxy/net/changelog.py
@@ -1,4 +1,4 @@
-"""The change log's frames, and the same events as JSON in the configuration."""
+"""Decoding of the change log's events, from binary frames and from JSON in the configuration."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 from grebeproxy.net.messages import BadFrameError, ChangeLogUpdate
 from grebeproxy.policy.interface import Engine, EngineList, EngineState, ListKind, Settings
 
-if TYPE_CHECKING:  # types alone, which would take time of each start
+if TYPE_CHECKING:  # imports for types only would slow down each start
     from grebeproxy.net.known_fields import EngineEntry, KnownEvents
 
-HEAD = struct.Struct(">IQB")  # length of what follows it, sequence number, kind of frame
-RECORD = struct.Struct(">IIHBBBHIQ")  # one engine: the fields are named in ``Decoder._update``
-LENGTH_BYTES = 4  # of a frame, not counted by its length
+HEAD = struct.Struct(">IQB")  # length of the rest of the frame, sequence number, kind of frame
+RECORD = struct.Struct(">IIHBBBHIQ")  # one engine; ``Decoder._decode_update`` names the fields
+LENGTH_BYTES = 4  # size of the length field, which a frame's length does not include
 AFTER_LENGTH = HEAD.size - LENGTH_BYTES
-MAX_RECORDS = 16384  # engines in one frame
-MAX_BYTES = AFTER_LENGTH + MAX_RECORDS * RECORD.size  # of a frame behind its length
-WEIGHT_SCALE = 1000  # a weight of 1 is written as this
-HEARTBEAT, FULL, CHANGES = 0, 1, 2  # kinds of frame: a heartbeat, the full list, changes to it
-PORT_LIMIT = 65536  # ports are below it, and above 0
+MAX_RECORDS = 16384  # records in one frame, one for each engine
+MAX_BYTES = AFTER_LENGTH + MAX_RECORDS * RECORD.size  # of a frame without its length field
+WEIGHT_SCALE = 1000  # the encoding of a weight of 1
+HEARTBEAT, FULL, CHANGES = 0, 1, 2  # kinds of frame; changes apply to the list before
+PORT_LIMIT = 65536  # ports are above 0 and below this
 STATES = (EngineState.UP, EngineState.DRAINING, EngineState.GONE)
 STATE_NAMES = {"Ready": EngineState.UP, "Terminating": EngineState.DRAINING, "Gone": EngineState.GONE}
 
-Clock = Callable[[int], float]  # from a Unix time in milliseconds to the decision module's clock
+Clock = Callable[[int], float]  # converts a Unix time in milliseconds to the decision module's clock
 
 
 def hello(seq: int) -> bytes:
-    """What a router writes first to subscribe: the sequence number of the last event it has."""
+    """Encode a router's subscription: the sequence number of the last event that it has received."""
     return struct.pack(">Q", seq)
 
 
 class Decoder:
-    """Splits the stream into events, however the bytes are cut."""
+    """Decodes a byte stream into events, however the stream is split."""
 
     def __init__(self, settings: Settings, clock: Clock) -> None:
         self._clock = clock
@@ -44,17 +44,17 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use these settings' lists of zones and kinds from the next event on."""
+        """Use the zones and kinds of these settings from the next event on."""
         self._zones = settings.zones
         self._kinds = settings.kinds
 
     @property
     def partial(self) -> int:
-        """Bytes buffered of a frame that is not complete yet."""
+        """The number of buffered bytes of a frame that is not complete yet."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[ChangeLogUpdate]:
-        """The events that these bytes complete. Raises ``BadFrameError``."""
+        """Yield the events that these bytes complete. Raises ``BadFrameError``."""
         self._buffer += data
         while len(self._buffer) >= HEAD.size:
             length, seq, kind = HEAD.unpack_from(self._buffer)
@@ -66,20 +66,20 @@
                 return
             records = bytes(self._buffer[HEAD.size : end])
             del self._buffer[:end]
-            yield ChangeLogUpdate(seq) if kind == HEARTBEAT else self._update(seq, kind, records)
+            yield ChangeLogUpdate(seq) if kind == HEARTBEAT else self._decode_update(seq, kind, records)
 
-    def _update(self, seq: int, kind: int, records: bytes) -> ChangeLogUpdate:
+    def _decode_update(self, seq: int, kind: int, records: bytes) -> ChangeLogUpdate:
         engines: list[Engine] = []
         addresses: dict[str, Address] = {}
-        for number, host, port, state, zone, shape, cell, weight, started in RECORD.iter_unpack(records):
-            if state >= len(STATES) or zone >= len(self._zones) or shape >= len(self._kinds):
-                raise BadFrameError("a record with a state, zone or kind that is not known")
+        for number, host, port, state, zone, kind_index, cell, weight, started in RECORD.iter_unpack(records):
+            if state >= len(STATES) or zone >= len(self._zones) or kind_index >= len(self._kinds):
+                raise BadFrameError("a record with an unknown state, zone or kind")
             engine = f"s-{number:08x}"
             addresses[engine] = (socket.inet_ntoa(host.to_bytes(4, "big")), port)
             engines.append(
                 Engine(
                     id=engine,
-                    kind=self._kinds[shape].name,
+                    kind=self._kinds[kind_index].name,
                     zone=self._zones[zone],
                     cell=cell,
                     state=STATES[state],
@@ -92,7 +92,7 @@
 
 
 def known_events(known: KnownEvents, clock: Clock) -> Iterator[ChangeLogUpdate]:
-    """The events that the configuration holds, in order. Raises ValueError or KeyError naming the field."""
+    """Yield the events in the configuration, in order. Raises ValueError or KeyError naming the field."""
     for position, result in enumerate(known["results"]):
         known_list = result["fleet"]
         seq = int(result["seq"])
@@ -120,11 +120,11 @@
 
 
 class AddressError(GrebeproxyError, ValueError):
-    """An address that is not ``host:port`` with a port from 1 to 65535; a ValueError, as callers catch."""
+    """An address that is not ``host:port`` with a port from 1 to 65535; callers catch it as a ValueError."""
 
 
 def host_and_port(address: str) -> Address:
-    """Split ``host:port`` into the host, without brackets, and the port. Raises ``AddressError``."""
+    """Split ``host:port`` into the host without brackets and the port. Raises ``AddressError``."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < PORT_LIMIT:
         raise AddressError(f"{address!r} is not host:port")
--- a/grebeproxy/net/closing.py
+++ b/grebeproxy/net/closing.py
@@ -1,4 +1,4 @@
-"""Connections that the router has closed, while their peers may still read what they were sent."""
+"""Connections that the router is closing, while their peers may still read data that was sent."""
 
 from __future__ import annotations
 
@@ -7,36 +7,36 @@
 
 from grebeproxy.net.timers import Cancellable, LoopTimers
 
-CLOSE_TIMEOUT = 0.5  # seconds in which the peer may read what it was sent, and close its side
-MAX_CLOSING = 16  # closing connections, beyond which the oldest is aborted
-EXIT_GRACE = 2.0  # seconds after the exit began in which unsent bytes may still be read
-POLL_INTERVAL = 0.005  # seconds between checks whether all are closed, or have sent all
+CLOSE_TIMEOUT = 0.5  # seconds in which the peer may read the data sent to it and close its side
+MAX_CLOSING = 16  # closing connections; beyond this number the oldest one is aborted
+EXIT_GRACE = 2.0  # seconds from the beginning of the exit in which unsent bytes may still be sent
+POLL_INTERVAL = 0.005  # seconds between two checks whether connections are closed or have unsent bytes
 
 
 class ClosingConnection(Protocol):
-    """A connection that may take some time to close."""
+    """A connection that may need some time to close."""
 
     def unsent_bytes(self) -> int:
-        """Bytes that were written and are not sent yet."""
+        """The number of bytes that were written and are not sent yet."""
 
     def abort(self) -> None:
-        """Close at once and drop what is written and not sent."""
+        """Close at once and discard unsent bytes."""
 
 
 class ClosingConnections:
-    """Bounds closing connections in time and number."""
+    """Limits how long connections may be closing, and how many."""
 
     def __init__(self, timers: LoopTimers) -> None:
         self._timers = timers
-        self._exit_deadline: float | None = None  # set once the program exits; no connection outlasts it
-        self._timeouts: dict[ClosingConnection, Cancellable] = {}  # by connection, the oldest first
+        self._exit_deadline: float | None = None  # set when the program exits; no connection outlasts it
+        self._timeouts: dict[ClosingConnection, Cancellable] = {}  # by connection, oldest first
 
     def __len__(self) -> int:
-        """How many there are."""
+        """The number of closing connections."""
         return len(self._timeouts)
 
     def add(self, connection: ClosingConnection) -> None:
-        """Abort it where its peer does not close soon, and the oldest one where too many are closing."""
+        """Abort the connection if its peer does not close in time, and the oldest one beyond the limit."""
         if self._exit_deadline is None and len(self._timeouts) >= MAX_CLOSING:
             self.abort(next(iter(self._timeouts)))
         if connection not in self._timeouts:
@@ -46,7 +46,7 @@
         self._timeouts[connection] = self._timers.call_later(delay, lambda: self._time_out(connection))
 
     def _time_out(self, connection: ClosingConnection) -> None:
-        """Abort it; while the program exits, a connection with unsent bytes gets more time."""
+        """Abort the connection; while the program exits, one with unsent bytes gets more time."""
         deadline = self._exit_deadline
         if deadline is not None and self._timers.now() < deadline and connection.unsent_bytes():
             self._start_timeout(connection, POLL_INTERVAL)
@@ -54,25 +54,25 @@
             self.abort(connection)
 
     def abort(self, connection: ClosingConnection) -> None:
-        """Close one at once. It is removed here as well, since ``connection_lost`` comes a turn later."""
+        """Abort a connection, and remove it here: ``connection_lost`` is called one iteration later."""
         self.remove(connection)
         connection.abort()
 
     def remove(self, connection: ClosingConnection) -> None:
-        """Stop the timeout of one that is closed; one that is not here is ignored."""
+        """Cancel the timeout of a closed connection; an unknown connection is ignored."""
         if (timeout := self._timeouts.pop(connection, None)) is not None:
             timeout.cancel()
 
     def abort_all(self) -> None:
-        """Close all at once, to free the descriptors that they hold."""
+        """Abort all connections to free their descriptors."""
         for connection in list(self._timeouts):
             self.abort(connection)
 
     def begin_exit(self) -> None:
-        """The program exits: any number may be closing, and those with unsent bytes for longer."""
+        """For the exit, lift the limit on the number and give connections with unsent bytes more time."""
         self._exit_deadline = self._timers.now() + EXIT_GRACE
 
     async def wait_until_closed(self) -> None:
-        """Wait until none is left; each is aborted by its timeout."""
+        """Wait until no connection is left; timeouts abort those that do not close."""
         while self._timeouts:
             await asyncio.sleep(POLL_INTERVAL)
--- a/grebeproxy/net/dialer.py
+++ b/grebeproxy/net/dialer.py
@@ -1,4 +1,4 @@
-"""Makes connections to engines and to the change log."""
+"""Opens connections to engines and to the change log."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from grebeproxy.net.connections import Connection
 
-# Errors that say something about this machine, not about the peer.
+# Errors that are caused by this machine's shortage of a resource, not by the peer.
 LOCAL_SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
 class Dialer:
-    """Makes connections on the running loop, and owns the tasks that do.
+    """Opens connections on the running event loop, and owns the tasks that do so.
 
-    ``on_shortage`` is called with the error where this machine is short of a resource. As an
-    asynchronous context manager it cancels, on leaving, the dials that are still under way.
+    ``on_shortage`` is called with the error when this machine is short of a resource. The dialer is an
+    asynchronous context manager; its exit cancels the connection attempts in flight.
     """
 
     def __init__(self, on_shortage: Callable[[OSError], None]) -> None:
@@ -28,14 +28,14 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """Cancel the dials that are still under way and wait until they have stopped."""
+        """Cancel the connection attempts in flight and wait until their tasks have ended."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def dial(self, connection: Connection, address: tuple[str, int]) -> None:
-        """Connect to ``host, port``; ``Connection.close`` cancels it, a failure ends the connection."""
+        """Connect to ``host, port``. ``Connection.close`` cancels it; a failure ends the connection."""
         task = asyncio.get_running_loop().create_task(self._connect(connection, address))
         connection.dial_task = task
         self._tasks.add(task)
@@ -45,8 +45,8 @@
         loop = asyncio.get_running_loop()
         try:
             await loop.create_connection(lambda: connection, *address)
-        except OSError as error:  # refused, unreachable, or no descriptor is left
-            # Reported apart, so that an engine is not taken for down because this machine lacks a resource.
+        except OSError as error:  # The peer refuses or is unreachable, or no descriptor is left.
+            # A local shortage is reported separately, so that an engine does not count as down because of it.
             connection.local_shortage = error.errno in LOCAL_SHORTAGES
             if connection.local_shortage:
                 self._on_shortage(error)
--- a/grebeproxy/net/effects.py
+++ b/grebeproxy/net/effects.py
@@ -1,4 +1,4 @@
-"""Carries out the effects that the router asks for."""
+"""Executes the effects that the router's state machine returns."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class EffectTarget(Protocol):
-    """What effects act on: connections, timers, the log, and the process."""
+    """The connections, timers, log and process on which effects act."""
 
     clients: ClientConnections
     links: dict[int, EngineConnection]
@@ -20,13 +20,13 @@
         """Connect to an engine."""
 
     def open_change_log(self, effect: events.OpenChangeLog) -> None:
-        """Connect to the change log, closing an earlier connection."""
+        """Connect to the change log and close an earlier connection."""
 
     def save_overrides(self, calls: manual_overrides.Calls) -> None:
-        """Write the manual overrides for this router's other processes."""
+        """Save the manual overrides for the other processes of this router."""
 
     def wake_at(self, due: float) -> None:
-        """Feed ``Woken`` at that time."""
+        """Feed a ``Woken`` event at the time ``due``."""
 
     def log(self, text: str) -> None:
         """Write a log line."""
@@ -35,14 +35,14 @@
         """Accept clients from now on."""
 
     def stop_listening(self) -> None:
-        """Accept no more clients."""
+        """Stop accepting clients."""
 
     def exit(self) -> None:
-        """End the program once all that was written is sent."""
+        """End the program after all written bytes are sent."""
 
 
 def carry_out(target: EffectTarget, effects: Iterable[events.Effect]) -> None:
-    """Carry the effects out, in order."""
+    """Execute the effects in order."""
     for effect in effects:
         match effect:
             case events.AnswerClient() | events.CloseClient() | events.HalfCloseClient():
@@ -56,7 +56,7 @@
 
 
 def _on_process(target: EffectTarget, effect: events.Effect) -> None:
-    """Effects on the process as a whole: the change log, overrides, the clock, the log and listening."""
+    """Execute an effect on the change log, overrides, wake-up, log, listener or process."""
     match effect:
         case events.OpenChangeLog():
             target.open_change_log(effect)
--- a/grebeproxy/net/follower.py
+++ b/grebeproxy/net/follower.py
@@ -1,6 +1,7 @@
-"""Following the change log: which event comes next, when silence counts as a failure, when to dial again.
+"""Follows the change log: which event is next, when silence counts as a failure, and when to reconnect.
 
-Plain state without input or output; the router calls it, keeps its timers and emits its effects.
+The module holds plain state without input or output. The router calls it, keeps its timers and emits its
+effects.
 """
 
 from __future__ import annotations
@@ -12,42 +13,42 @@
 from grebeproxy.net.messages import ChangeLogUpdate
 from grebeproxy.policy.interface import ListKind
 
-FRAME_INTERVAL = 1.0  # seconds from one frame to the next while nothing changes
-# Seconds by which a frame may be late before it counts as missing.
+FRAME_INTERVAL = 1.0  # seconds between two frames while no engine changes
+# Bounds of the seconds by which a frame may be late before the connection counts as lost.
 MIN_LATENESS = 0.2
 MAX_LATENESS = 0.6
-# Seconds until the next dial; doubled with each failure.
-BACKOFF = 0.05
+# Bounds of the seconds until the next connection attempt, which double with each failure.
+MIN_BACKOFF = 0.05
 MAX_BACKOFF = 0.4
-# Seconds for a connection to come up; doubled with each one that does not.
+# Seconds in which a connection has to come up; doubled with each attempt that times out.
 CONNECT_TIMEOUT = 0.4
-RECONNECT_ALLOWANCE = 1.5 * CONNECT_TIMEOUT  # seconds for one connection that hangs and one that does not
-# Seconds for which a starting router waits for the engine list before it accepts clients.
+RECONNECT_ALLOWANCE = 1.5 * CONNECT_TIMEOUT  # seconds for one attempt that times out and one that succeeds
+# Seconds that a starting router waits for the engine list before it accepts clients.
 FIRST_EVENT_TIMEOUT = 0.25
 
 
 class ChangeLogGapError(GrebeproxyError, ValueError):
-    """An event of the change log was received whose predecessors are missing.
+    """Events of the change log are missing before the one that was received.
 
-    Derives from ``ValueError`` as well, so that callers that caught that before catch it still.
+    The error is also a ``ValueError`` for the sake of callers that catch that class.
     """
 
 
 @dataclass(slots=True)
 class Follower:
-    """The connection to the change log, and the last event that was applied. Times are in seconds."""
+    """The state of the connection to the change log, and the last applied event. Times are in seconds."""
 
     address: Address
     last_received_at: float
-    seq: int = 0  # of the last event that was applied
-    backoff: float = BACKOFF
+    seq: int = 0  # sequence number of the last applied event
+    backoff: float = MIN_BACKOFF
     connect_timeout: float = CONNECT_TIMEOUT
-    open: bool = False  # a connection was dialled and not given up since
-    connected: bool = False  # the connection has come up
-    dials: int = 0  # the connection's number, which tells its timers from those of an earlier one
+    open: bool = False  # a connection was dialled and has not been given up
+    connected: bool = False  # the connection is established
+    dials: int = 0  # number of the connection, which tells its timers from those of earlier ones
 
     def dial(self, now: float) -> OpenChangeLog:
-        """Connect, and request what comes after the last event."""
+        """Return the effect that connects and requests the events after the last applied one."""
         self.open = True
         self.connected = False
         self.last_received_at = now
@@ -55,23 +56,23 @@
         return OpenChangeLog(self.address, self.seq, self.dials)
 
     def opened(self, now: float) -> None:
-        """Record that the connection has come up and sent its request."""
+        """Record that the connection is established and has sent its request."""
         self.connected = True
         self.last_received_at = now
 
     def give_up(self) -> float:
-        """Give up the connection. Returns the seconds until the next dial, doubled with each failure."""
+        """Give up the connection. Returns the backoff in seconds, which doubles with each failure."""
         self.open = False
         delay = self.backoff
         self.backoff = min(MAX_BACKOFF, 2 * self.backoff)
         return delay
 
     def silence_deadline(self, drain_grace: float) -> float:
-        """When the connection is given up unless something is received on it.
+        """The time at which the connection is given up unless something is received on it.
 
-        Covers a log that stops sending while its connection stays open, and a connection that never comes up.
-        ``drain_grace`` is how long after a change was written the rules still allow acting against it, in
-        seconds. Silence is detected early enough to reconnect within it.
+        The deadline covers a change log that stops sending while its connection stays open, and a connection
+        that never comes up. ``drain_grace`` is the time in seconds for which a router may still act on the
+        old state after a change is written. Silence is detected early enough to reconnect within that time.
         """
         if not self.connected:
             return self.last_received_at + self.connect_timeout
@@ -79,13 +80,13 @@
         return self.last_received_at + FRAME_INTERVAL + min(MAX_LATENESS, lateness)
 
     def timed_out(self) -> None:
-        """Give up the connection as silent. If it never came up, the next one is given longer."""
+        """Give up a silent connection. If it never came up, the next one has a longer connect timeout."""
         self.open = False
         if not self.connected:
             self.connect_timeout = min(FRAME_INTERVAL + MAX_LATENESS, 2 * self.connect_timeout)
 
     def migrate(self, address: Address) -> bool:
-        """Follow the log at another address. Returns whether it is to be dialled at once."""
+        """Follow the log at another address. Returns whether the caller has to connect to it now."""
         if address == self.address:
             return False
         self.address = address
@@ -93,9 +94,9 @@
         return True
 
     def receive(self, update: ChangeLogUpdate, now: float) -> bool:
-        """Record an event. Returns whether it is to be applied: keep-alives and duplicates are not.
+        """Record an event. Returns whether to apply it; heartbeats and duplicates are not applied.
 
-        Raises ``ChangeLogGapError`` when events before it are missing.
+        Raises ``ChangeLogGapError`` if earlier events are missing.
         """
         self.last_received_at = now
         self._reset_delays()
@@ -107,5 +108,5 @@
         return True
 
     def _reset_delays(self) -> None:
-        self.backoff = BACKOFF
+        self.backoff = MIN_BACKOFF
         self.connect_timeout = CONNECT_TIMEOUT
--- a/grebeproxy/net/known_fields.py
+++ b/grebeproxy/net/known_fields.py
@@ -1,6 +1,6 @@
-"""The JSON form of the change log's events in the configuration. Keys and values are the operators'.
+"""The JSON form of the change log's events in the configuration, with the operators' keys and values.
 
-These types say what a file should hold; only reading it checks what it does hold.
+These types describe a valid file. The contents of an actual file are checked only when the file is decoded.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class EngineEntry(TypedDict):
-    """An engine."""
+    """An entry for one engine."""
 
     name: str
     address: str
@@ -22,7 +22,7 @@
 
 
 class KnownList(TypedDict):
-    """The engine list of one event; the full list with ``snapshot``, else changes to it."""
+    """The engine list of one event: the full list if ``snapshot`` is set, otherwise changes to it."""
 
     endpoints: list[EngineEntry]
     snapshot: NotRequired[bool]
--- a/grebeproxy/net/listener.py
+++ b/grebeproxy/net/listener.py
@@ -1,7 +1,7 @@
-"""A listening socket: accepts connections a few at a time and gives each a protocol.
+"""A listening socket that accepts a few connections at a time and gives each one a protocol.
 
-The loop's own server accepts all that wait in one go, and when descriptors run out it closes each newcomer:
-hundreds of connections that send nothing would then shut out the usual clients.
+The event loop's own server accepts all queued connections at once, and closes each new connection when no
+descriptor is left. Hundreds of connections that send nothing would then lock out the regular clients.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 import socket
 from collections.abc import Callable
 
-BACKLOG = 1024  # connections that the kernel queues until they are accepted
-ACCEPTS_PER_TURN = 16  # connections accepted before the loop reads from others
-ACCEPT_PAUSE = 0.05  # seconds without accepting after descriptors ran out
-DRAIN_TIMEOUT = 0.5  # seconds in which queued connections are still accepted once the socket is to close
+BACKLOG = 1024  # connections that the kernel queues before they are accepted
+ACCEPTS_PER_TURN = 16  # connections accepted before the loop reads from open ones
+ACCEPT_PAUSE = 0.05  # seconds without accepting after a failure for lack of descriptors
+DRAIN_TIMEOUT = 0.5  # seconds in which queued connections are still accepted before the socket closes
 
 
 def bind(address: tuple[str, int]) -> socket.socket:
-    """A socket bound to ``host, port``, not listening yet. Raises ``OSError``, as for an address in use."""
+    """Bind a socket to ``host, port`` without listening. Raises ``OSError``, as for an address in use."""
     listener = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -29,10 +29,10 @@
 
 
 def adopt(descriptor: int) -> socket.socket:
-    """The platform's listening socket under a descriptor. Raises ``OSError`` for one that does not listen."""
+    """Use the platform's listening socket. Raises ``OSError`` for a descriptor that does not listen."""
     listener = socket.socket(fileno=descriptor)
     if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        listener.detach()  # not this program's to close
+        listener.detach()  # The platform owns the descriptor.
         raise OSError(f"descriptor {descriptor} does not listen")
     return listener
 
@@ -40,8 +40,8 @@
 class Listener:
     """Accepts connections from a socket.
 
-    ``on_shortage`` is called with the error where none can be accepted for want of a resource. A ``shared``
-    socket is accepted from by another process as well.
+    ``on_shortage`` is called with the error if a resource for accepting connections is lacking. ``shared``
+    says that another process accepts connections from the same socket.
     """
 
     def __init__(
@@ -59,10 +59,10 @@
         self._shared = shared
         self._accepting: set[asyncio.Task[object]] = set()
         self._open = False
-        self._close_deadline: float | None = None  # on the loop's clock, once it is to close
+        self._close_deadline: float | None = None  # on the loop's clock; set when closing begins
 
     def open(self) -> None:
-        """Listen from now on. Raises ``OSError`` where another program came first."""
+        """Start listening. Raises ``OSError`` if another program already listens on the address."""
         if self._socket is None:
             return
         if not self._shared:
@@ -73,8 +73,8 @@
     def close(self) -> None:
         """Stop listening.
 
-        Connections queued on an own socket are accepted first, as fast as descriptors allow; those on a
-        shared one are left to the other process.
+        Connections that are queued on the router's own socket are accepted first, as far as descriptors
+        allow. Connections on a shared socket are left to the other process.
         """
         if self._shared or not self._open:
             self._close_socket()
@@ -89,7 +89,7 @@
             self._socket = None
 
     def _watch(self) -> None:
-        """Accept whenever a connection is queued."""
+        """Have the loop call ``_accept`` whenever a connection is queued."""
         if self._socket is None:
             return
         asyncio.get_running_loop().add_reader(self._socket, self._accept)
@@ -97,7 +97,7 @@
             self._accept()
 
     def _accept(self) -> None:
-        """Accept some connections; the rest stay queued in the kernel until the loop has read from others."""
+        """Accept some connections; the kernel queues the rest while the loop reads from open ones."""
         loop = asyncio.get_running_loop()
         if self._close_deadline is not None and loop.time() >= self._close_deadline:
             self._close_socket()
@@ -107,19 +107,19 @@
             try:
                 accepted, _ = self._socket.accept()
             except (BlockingIOError, InterruptedError, ConnectionError):
-                # The queue is empty; on a shared socket the other process may have been quicker.
+                # The queue is empty. On a shared socket, the other process may have accepted the connection.
                 if self._close_deadline is not None:
                     self._close_socket()
                 return
-            except OSError as error:  # no descriptor is left
+            except OSError as error:  # No descriptor is left.
                 self._on_shortage(error)
                 loop.remove_reader(self._socket)
                 loop.call_later(ACCEPT_PAUSE, self._watch)
                 return
-            self._start(accepted)
+            self._attach_protocol(accepted)
 
-    def _start(self, accepted: socket.socket) -> None:
-        """Give an accepted socket its protocol."""
+    def _attach_protocol(self, accepted: socket.socket) -> None:
+        """Attach a new protocol to an accepted socket."""
         accepted.setblocking(False)
         loop = asyncio.get_running_loop()
         task: asyncio.Task[object] = loop.create_task(
--- a/grebeproxy/net/log_limit.py
+++ b/grebeproxy/net/log_limit.py
@@ -1,16 +1,16 @@
-"""A rate limit on log lines that peers can cause."""
+"""A rate limit for log lines that peers can cause."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-MIN_INTERVAL = 1.0  # seconds between two lines
+MIN_INTERVAL = 1.0  # seconds between two log lines
 
 
 class RateLimitedLog:
-    """Passes on at most one line a second, and counts those it left out.
+    """Logs at most one line per second, and counts the suppressed lines.
 
-    Peers that go on sending malformed bytes would otherwise cost CPU and fill the log.
+    Without this limit, peers that keep sending malformed bytes would cost CPU time and fill the log.
     """
 
     def __init__(self, log: Callable[[str], None], now: Callable[[], float]) -> None:
@@ -20,7 +20,7 @@
         self._suppressed = 0
 
     def write(self, text: str) -> None:
-        """Log a line, unless there was one less than a second ago."""
+        """Log a line unless the last one was logged less than a second ago."""
         now = self._now()
         if now < self._last_line + MIN_INTERVAL:
             self._suppressed += 1
--- a/grebeproxy/net/log_line.py
+++ b/grebeproxy/net/log_line.py
@@ -4,13 +4,14 @@
 
 import re
 
-PLAIN_VALUE = re.compile(r"[^\s\"=\\]+")  # needs no quotes
+PLAIN_VALUE = re.compile(r"[^\s\"=\\]+")  # a value that needs no quotes
 
 
 def log_line(event: str, **fields: object) -> str:
-    """One line, such as ``router.configuration.rejected error="seed: must be hex digits"``.
+    """Format one line, such as ``router.configuration.rejected error="seed: must be hex digits"``.
 
-    Values with white space, quotes, backslashes or equals signs are quoted, so that a line can be parsed.
+    Values that are empty or contain white space, quotes, backslashes or equals signs are quoted, so that
+    programs can parse the line.
     """
     return " ".join([event, *(f"{key}={_quoted(str(value))}" for key, value in fields.items())])
 
--- a/grebeproxy/net/manual_overrides.py
+++ b/grebeproxy/net/manual_overrides.py
@@ -1,11 +1,11 @@
 """Manual overrides: the engines that operators have disabled.
 
-Plain state and functions, and the bytes that carry the overrides from one process to the next; the router
-calls them.
+The module holds plain state and functions, and the encoding that carries the overrides from one process to
+another. The router calls it.
 
-The processes of one router may know of different calls. Each call has a number above all that its process
-knew, and for each engine the call with the highest number holds. So merging gives the same result in any
-order, and when repeated.
+The processes of one router may know different calls. The number of a call is higher than all numbers that its
+process knows, and the call with the highest number for an engine is in force. Merging is therefore
+commutative and idempotent.
 """
 
 from __future__ import annotations
@@ -18,15 +18,17 @@
 from grebeproxy.errors import GrebeproxyError
 
 MAX_DISABLED = 1024  # engines disabled at once
-MAX_ENABLED = 64  # engines enabled again that are remembered, so that other processes learn of it
-VERSION = 1  # of the format of the bytes
+MAX_ENABLED = 64  # re-enabled engines whose calls are kept, so that other processes learn of them
+VERSION = 1  # of the encoding
 DIGEST_BYTES = 16
 
-Calls = dict[str, tuple[int, bool]]  # by engine: the number of its latest call, and whether that disabled it
+Calls = dict[
+    str, tuple[int, bool]
+]  # by engine: the number of its latest call, and whether the call disabled it
 
 
 class OverrideFileError(GrebeproxyError):
-    """Bytes that hold no overrides of this router."""
+    """The data does not hold overrides of this router."""
 
 
 @dataclass(slots=True)
@@ -36,11 +38,11 @@
     calls: Calls = field(default_factory=dict)
 
     def disabled(self) -> frozenset[str]:
-        """The engines that get nothing new."""
+        """The engines that receive no new requests."""
         return frozenset(engine for engine, (_, disabled) in self.calls.items() if disabled)
 
     def set(self, engine: str, disabled: bool) -> bool:
-        """Record a call, if it changes anything. Returns ``False`` only if too many engines are disabled."""
+        """Record a call that changes anything. Returns ``False`` only if too many engines are disabled."""
         _, disabled_before = self.calls.get(engine, (0, False))
         if disabled is disabled_before:
             return True
@@ -52,13 +54,13 @@
         return True
 
     def merge(self, calls: Calls) -> None:
-        """Take in what another process knows; of calls with equal numbers, the one that disables holds."""
+        """Merge the calls of another process; of two calls with one number, the disabling call wins."""
         for engine, (number, disabled) in calls.items():
             self.calls[engine] = max(self.calls.get(engine, (-1, False)), (number, disabled))
         self._forget_oldest()
 
     def _forget_oldest(self) -> None:
-        """Bound memory and file: of the calls that enabled an engine, only the latest are needed."""
+        """Drop the oldest calls that enabled an engine, to bound the memory and the size of the file."""
         enabled = sorted(
             (number, engine) for engine, (number, disabled) in self.calls.items() if not disabled
         )
@@ -67,13 +69,13 @@
 
 
 def encode(name: str, calls: Calls) -> bytes:
-    """The calls of the router of that name: a line with a digest, then JSON."""
+    """Encode the calls of the named router as a line with a digest, followed by JSON."""
     body = orjson.dumps({"version": VERSION, "router": name, "calls": calls}, option=orjson.OPT_SORT_KEYS)
     return _digest(body) + b"\n" + body
 
 
 def decode(name: str, data: bytes) -> Calls:
-    """The calls of the router of that name. Raises ``OverrideFileError`` with the reason."""
+    """Decode the calls of the named router. Raises ``OverrideFileError`` with the reason."""
     digest, _, body = data.partition(b"\n")
     if digest != _digest(body):
         raise OverrideFileError("torn, or not written by a router")
--- a/grebeproxy/net/msgpack_rpc.py
+++ b/grebeproxy/net/msgpack_rpc.py
@@ -1,4 +1,4 @@
-"""MessagePack-RPC, as clients speak it."""
+"""The codec for MessagePack-RPC, the protocol of clients."""
 
 from __future__ import annotations
 
@@ -28,27 +28,27 @@
 from grebeproxy.units import MS_PER_SECOND
 
 REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2
-MAX_MS = 3_600_000.0
-MAX_ID = 2**32 - 1
-UNBOUNDED_MB = 1e6  # where the settings give no kind of engine a memory
-# float() alone would also take "nan", "1_0", " 1" and digits of other scripts.
+MAX_DURATION_MS = 3_600_000.0
+MAX_MESSAGE_ID = 2**32 - 1
+UNBOUNDED_MB = 1e6  # the limit if the settings name no memory size for any kind of engine
+# The pattern is stricter than float(), which also accepts "nan", "1_0", " 1" and digits of other scripts.
 NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?")
 TXN_ID = re.compile(r"[0-9a-fA-F]{16}")
-# Fields that are passed on to engines: a comma or an equals sign would end the field there.
+# Values that are forwarded to engines, in whose protocol a comma or an equals sign ends a field.
 TOKEN = re.compile(r"[^,=\s\x00-\x1f]{1,64}")
 
-Fields = Mapping[object, object]  # as a client sent them: nothing about them is checked yet
+Fields = Mapping[object, object]  # the unchecked fields of a client's message
 
 
 class Decoder:
-    """Splits what a client sends into messages, however the bytes are cut.
+    """Decodes a client's byte stream into messages, however the stream is split.
 
-    ``MessageFramer`` finds where a message ends; msgpack unpacks it.
+    ``MessageFramer`` finds where a message ends; msgpack unpacks the message.
     """
 
     def __init__(self, settings: Settings) -> None:
-        self._idempotency: dict[str, Idempotency] = {}  # by the classes that can be decoded
-        self._current: dict[str, Idempotency] = {}  # by the classes of the settings in force
+        self._idempotency: dict[str, Idempotency] = {}  # by name of each class that can be decoded
+        self._current: dict[str, Idempotency] = {}  # by name of each class in the current settings
         self.apply_settings(settings)
         self._buffer = bytearray()
         self._framer = MessageFramer()
@@ -56,56 +56,56 @@
     def apply_settings(self, settings: Settings) -> None:
         """Use these settings from the next message on.
 
-        Classes of the settings before can still be decoded, as clients may not know of the change yet: the
-        router decides what becomes of such a request.
+        Classes of the previous settings can still be decoded, because clients may not know of the change yet.
+        The router decides how to handle such a request.
         """
-        before = self._current
+        previous = self._current
         self._current = {cls.name: cls.idempotency for cls in settings.classes}
-        self._idempotency = before | self._current
+        self._idempotency = previous | self._current
         self._tenants = {tenant.name for tenant in settings.tenants}
         self._max_memory_mb = max(kind.memory_mb for kind in settings.kinds) or UNBOUNDED_MB
 
     @property
     def partial(self) -> int:
-        """Bytes buffered of a message that is not complete yet."""
+        """The number of buffered bytes of a message that is not complete yet."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[FromClient]:
-        """The messages that these bytes complete. Raises ``BadFrameError``."""
+        """Yield the messages that these bytes complete. Raises ``BadFrameError``."""
         self._buffer += data
         framer = self._framer
-        start = 0  # of the current message; the buffer is shortened only once, at the end
+        start = 0  # where the current message begins; the buffer is shortened once, after the loop
         try:
             while framer.complete(self._buffer, start):
                 end = start + framer.size
-                complete = bytes(self._buffer[start:end])
+                packed = bytes(self._buffer[start:end])
                 start = end
                 framer.next_message()
-                yield self._message(msgpack.unpackb(complete))
+                yield self._decode_message(msgpack.unpackb(packed))
         except (ValueError, msgpack.UnpackException, TypeError) as error:
             raise BadFrameError(str(error) or type(error).__name__) from None
         del self._buffer[:start]
 
-    def _message(self, message: object) -> FromClient:
+    def _decode_message(self, message: object) -> FromClient:
         match message:
-            case [int(), int(msg), *_] if not 0 <= msg <= MAX_ID:
-                raise MalformedMessageError("a message id that cannot be")
-            case [int(kind), str("giveUp"), [int(msg)]] if kind == NOTIFICATION:
-                return CancelRequest(msg)
-            case [int(kind), int(msg), str("probe"), list()] if kind == REQUEST:
-                return Ping(msg)
-            case [int(kind), int(msg), str(cls), [dict(fields), bytes(body)]] if kind == REQUEST:
-                return self._call(msg, cls, fields, body)
-            case [int(kind), int(msg), str(), list()] if kind == REQUEST:
-                return InvalidRequest(msg, "params")
-            case [int(kind), int(msg), *_] if kind == REQUEST:
-                return InvalidRequest(msg, "method")
+            case [int(), int(message_id), *_] if not 0 <= message_id <= MAX_MESSAGE_ID:
+                raise MalformedMessageError("message id is out of range")
+            case [int(kind), str("giveUp"), [int(message_id)]] if kind == NOTIFICATION:
+                return CancelRequest(message_id)
+            case [int(kind), int(message_id), str("probe"), list()] if kind == REQUEST:
+                return Ping(message_id)
+            case [int(kind), int(message_id), str(cls), [dict(fields), bytes(body)]] if kind == REQUEST:
+                return self._decode_call(message_id, cls, fields, body)
+            case [int(kind), int(message_id), str(), list()] if kind == REQUEST:
+                return InvalidRequest(message_id, "params")
+            case [int(kind), int(message_id), *_] if kind == REQUEST:
+                return InvalidRequest(message_id, "method")
         raise MalformedMessageError("not a request or a notification")
 
-    def _call(self, msg: int, cls: str, fields: Fields, body: bytes) -> FromClient:
+    def _decode_call(self, message_id: int, cls: str, fields: Fields, body: bytes) -> FromClient:
         try:
             return Call(
-                msg,
+                message_id,
                 txn=_required(fields, "txn", TXN_ID.fullmatch),
                 query_class=self._class(cls),
                 timeout=_number(fields, "limit") / MS_PER_SECOND,
@@ -119,7 +119,7 @@
                 data_set=table_group(body),
             )
         except _FieldError as error:
-            return InvalidRequest(msg, error.field)
+            return InvalidRequest(message_id, error.field)
 
     def _class(self, cls: str) -> str:
         if cls not in self._idempotency:
@@ -132,14 +132,14 @@
         return _required(fields, "team", self._tenants.__contains__)
 
     def _idempotency_key(self, cls: str, fields: Fields) -> str | None:
-        """The key under which an engine runs a request once; required where the class relies on it."""
+        """The key under which an engine runs a request only once; some classes require it."""
         if self._idempotency[cls] is Idempotency.IDEMPOTENCY_KEY:
             return _required(fields, "unique", TOKEN.fullmatch)
         return _optional(fields, "unique", TOKEN.fullmatch)
 
 
 class _FieldError(GrebeproxyError):
-    """A field that is missing or cannot be used."""
+    """A field is missing or invalid."""
 
     def __init__(self, field: str) -> None:
         super().__init__(field)
@@ -151,7 +151,7 @@
 
 
 def _required(fields: Fields, name: str, accepts: Callable[[str], object]) -> str:
-    """A text field that has to be there, and that ``accepts`` is true of. Raises ``_FieldError``."""
+    """A required text field that ``accepts`` accepts. Raises ``_FieldError``."""
     value = fields.get(name)
     if not isinstance(value, str) or not accepts(value):
         raise _FieldError(name)
@@ -162,16 +162,16 @@
     return _required(fields, name, accepts) if name in fields else None
 
 
-def _number(fields: Fields, name: str, most: float = MAX_MS) -> float:
-    """A number from 0 to ``most``, written as text; a ``limit`` of 0 leaves no time and is refused."""
+def _number(fields: Fields, name: str, maximum: float = MAX_DURATION_MS) -> float:
+    """A number from 0 to ``maximum``, written as text; a ``limit`` of 0 leaves no time and is rejected."""
     value = float(_required(fields, name, NUMBER.fullmatch))
-    if value > most or (name == "limit" and not value):
+    if value > maximum or (name == "limit" and not value):
         raise _FieldError(name)
     return value
 
 
 def encode(answer: ToClient) -> bytes:
-    """The bytes of one answer."""
+    """Encode one answer."""
     error: list[object] | None = None
     result: list[object] | None = None
     match answer:
@@ -180,8 +180,8 @@
         case Pong():
             result = [answer.serving, {}]
         case Rejected():
-            later = answer.retry_after
-            hint = {} if later is None else {"later": str(math.ceil(later * MS_PER_SECOND))}
+            retry_after = answer.retry_after
+            hint = {} if retry_after is None else {"later": str(math.ceil(retry_after * MS_PER_SECOND))}
             error = ["TryLater", hint]
         case Failed():
             field = answer.field
--- a/grebeproxy/net/override_file.py
+++ b/grebeproxy/net/override_file.py
@@ -1,4 +1,4 @@
-"""The file that carries manual overrides between the processes of one router."""
+"""The file through which the processes of one router share manual overrides."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from grebeproxy.net import manual_overrides
 
-POLL_INTERVAL = 0.25  # seconds between two reads
-MAX_BYTES = 256 * 1024  # of the file that are read
+POLL_INTERVAL = 0.25  # seconds between two reads of the file
+MAX_BYTES = 256 * 1024  # size beyond which the rest of the file is not read
 
 
 class FileVersion(NamedTuple):
-    """Tells one version of the file from another."""
+    """Identifies a version of the file."""
 
     inode: int
     modified_ns: int
@@ -22,18 +22,18 @@
 
 
 class OverrideFile:
-    """One router's file in a folder that its processes share."""
+    """The file of one router, in a folder that its processes share."""
 
     def __init__(self, folder: Path, name: str) -> None:
         self._name = name
         safe_name = "".join(character if character.isalnum() else "-" for character in name)
         self.path = folder / f"grebeproxy-{safe_name}.hands"
-        self._last_version: FileVersion | None = None  # last read or written by this process
+        self._last_version: FileVersion | None = None  # last version that this process read or wrote
 
     def read(self) -> manual_overrides.Calls | None:
-        """The calls in the file; ``None`` where it is missing or as it was at the last read or write.
+        """The calls in the file; ``None`` if it is missing or has not changed since the last read or write.
 
-        Raises ``OSError``, or ``OverrideFileError`` for a file that is damaged or another router's.
+        Raises ``OSError``, or ``OverrideFileError`` for a file that is corrupt or belongs to another router.
         """
         try:
             with self.path.open("rb") as file:
--- a/grebeproxy/net/override_sync.py
+++ b/grebeproxy/net/override_sync.py
@@ -1,4 +1,4 @@
-"""Keeps the manual overrides of one router's processes alike, through a file."""
+"""Synchronizes manual overrides between the processes of one router through a file."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class OverrideSync:
-    """Reports the calls that another process wrote to the file, and writes those of this one."""
+    """Reports the calls that other processes wrote to the file, and writes the calls of this process."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         self._log = log
 
     def poll(self) -> None:
-        """Read the file where it has changed, now and every ``POLL_INTERVAL``."""
+        """Read the file if it has changed, now and every ``POLL_INTERVAL`` seconds."""
         try:
             calls = self._file.read()
             if calls is not None:
@@ -36,8 +36,8 @@
         self._timers.call_later(POLL_INTERVAL, self.poll)
 
     def save(self, calls: manual_overrides.Calls) -> None:
-        """Write the calls for the other processes."""
+        """Write the calls to the file for the other processes."""
         try:
             self._file.write(calls)
-        except OSError as error:  # in force in this process all the same
+        except OSError as error:  # The calls are in force in this process even if the write fails.
             self._log(log_line("router.overrides.write_failed", file=self._file.path.name, error=error))
--- a/grebeproxy/net/process.py
+++ b/grebeproxy/net/process.py
@@ -14,55 +14,57 @@
 from grebeproxy.config import Config
 from grebeproxy.net.runtime import Runtime
 
-GC_THRESHOLDS = (20_000, 20, 50)  # for the three generations: few collections, as each stalls the loop
+GC_THRESHOLDS = (20_000, 20, 50)  # by generation; collections are rare because each one stalls the loop
 
 
 class BackgroundService(Protocol):
-    """What a program runs beside its router, on the same loop."""
+    """A service that the program runs beside its router, on the same event loop."""
 
     async def start(self) -> None:
-        """Called before the router starts. Raises ``OSError`` for an address that cannot be bound."""
+        """Start before the router. Raises ``OSError`` for an address that cannot be bound."""
 
     async def stop(self) -> None:
-        """Called once the router has ended."""
+        """Stop after the router has ended."""
 
 
 def run(
-    config: Config, read: Callable[[], Config], make_service: Callable[[], BackgroundService] | None = None
+    config: Config,
+    read_config: Callable[[], Config],
+    make_service: Callable[[], BackgroundService] | None = None,
 ) -> None:
-    """Serve on uvloop until SIGTERM or SIGINT; SIGHUP reads the configuration again with ``read``.
+    """Serve on uvloop until SIGTERM or SIGINT; SIGHUP reloads the configuration with ``read_config``.
 
     Raises ``OSError`` for an address that cannot be bound.
     """
-    uvloop.run(_serve(config, read, make_service))
+    uvloop.run(_serve(config, read_config, make_service))
 
 
 async def _serve(
-    config: Config, read: Callable[[], Config], make_service: Callable[[], BackgroundService] | None
+    config: Config, read_config: Callable[[], Config], make_service: Callable[[], BackgroundService] | None
 ) -> None:
     service = make_service() if make_service is not None else None
     if service is not None:
         await service.start()
     runtime = Runtime(config)
-    _handle_signals(runtime, read)
+    _handle_signals(runtime, read_config)
     _tune_garbage_collector()
     await runtime.serve()
     if service is not None:
         await service.stop()
 
 
-def _handle_signals(runtime: Runtime, read: Callable[[], Config]) -> None:
+def _handle_signals(runtime: Runtime, read_config: Callable[[], Config]) -> None:
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, runtime.terminate)
-    loop.add_signal_handler(signal.SIGHUP, runtime.reload, read)
-    signals.release()
+    loop.add_signal_handler(signal.SIGHUP, runtime.reload, read_config)
+    signals.unblock()
 
 
 def _tune_garbage_collector() -> None:
-    """Collect rarely, and never look again at what the start has made.
+    """Collect garbage rarely, and exclude the objects that the start created from later collections.
 
-    A collection stalls the loop, and requests that came meanwhile would be read late.
+    A collection stalls the event loop, so that requests that arrive during it are read late.
     """
     gc.collect()
     gc.freeze()
--- a/grebeproxy/net/resp.py
+++ b/grebeproxy/net/resp.py
@@ -1,4 +1,4 @@
-"""RESP arrays of bulk strings, as engines speak them."""
+"""The codec for the engines' protocol: RESP arrays of bulk strings."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 CRLF = b"\r\n"
 ANSWER_HEADER = b"*4"  # an array of four bulk strings
-MAX_HEADER_BYTES = 16  # of a line that holds a length, with its end
-MAX_PART_BYTES = (64, 16, 1024, 6000)  # of an answer's id, word, fields and page
-MAX_PAGES = 64  # above the 8 of a result
+MAX_HEADER_BYTES = 16  # of a line that holds a length, including its line end
+MAX_PART_BYTES = (64, 16, 1024, 6000)  # limits for an answer's id, word, fields and page
+MAX_PAGES = 64  # in one result; above the 8 pages that a result has
 NO_FIELDS = b"-"
 ANSWER_KINDS = {
     b"ok": AnswerKind.OK,
@@ -39,7 +39,7 @@
 
 
 def encode(command: ToEngine) -> bytes:
-    """The bytes of one command."""
+    """Encode one command."""
     parts: tuple[str | bytes, ...]
     match command:
         case Run():
@@ -52,7 +52,7 @@
             parts = ("END", command.txn)
         case Hello():
             parts = ("HELO", command.tag)
-    packed: bytes = hiredis.pack_command(parts)  # type: ignore[arg-type]  # it declares a tuple of one item
+    packed: bytes = hiredis.pack_command(parts)  # type: ignore[arg-type]  # its stub declares a tuple of one item
     return packed
 
 
@@ -66,39 +66,39 @@
 
 
 class Decoder:
-    """Splits what an engine sends into answers, however the bytes are cut.
+    """Decodes an engine's byte stream into answers, however the stream is split.
 
-    hiredis only encodes here. Its reader bounds no length: it waits for a body that announces 3 GB, and
-    takes a length that is too short for the body, passing on a truncated result.
+    hiredis is used for encoding only, because its reader does not check lengths: it waits for a body that
+    announces 3 GB, and accepts a length that is too short for the body, which truncates the result.
     """
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._position = 0  # bytes of the buffer that are decoded
-        self._parts: list[bytes] | None = None  # of the answer that has begun
+        self._position = 0  # number of decoded bytes in the buffer
+        self._parts: list[bytes] | None = None  # parts of the answer that has begun
 
     @property
     def partial(self) -> int:
-        """Bytes buffered of an answer that is not complete yet; above 0 once it has begun."""
+        """The number of buffered bytes of an incomplete answer; above 0 once an answer has begun."""
         return len(self._buffer) + sum(map(len, self._parts or ())) + (self._parts is not None)
 
     def feed(self, data: bytes) -> Iterator[EngineAnswer]:
-        """The answers that these bytes complete. Raises ``BadFrameError``."""
+        """Yield the answers that these bytes complete. Raises ``BadFrameError``."""
         self._buffer += data
         while self._decode_next():
             if self._parts is not None and len(self._parts) == len(MAX_PART_BYTES):
                 parts = self._parts
                 self._parts = None
-                yield _answer(*parts)
+                yield _decode_answer(*parts)
         del self._buffer[: self._position]
         self._position = 0
 
     def _decode_next(self) -> bool:
-        """Decode the header of an answer or one of its parts; whether all of it was there."""
+        """Decode the header of an answer, or one of its parts. Returns whether the bytes were complete."""
         header_end = self._buffer.find(CRLF, self._position, self._position + MAX_HEADER_BYTES)
         if header_end < 0:
             if len(self._buffer) - self._position >= MAX_HEADER_BYTES:
-                raise BadFrameError("a line without end where a length was due")
+                raise BadFrameError("expected a length, found a line that is too long")
             return False
         header = bytes(self._buffer[self._position : header_end])
         start = header_end + len(CRLF)
@@ -111,16 +111,16 @@
         return True
 
     def _decode_part(self, parts: list[bytes], header: bytes, start: int) -> bool:
-        """Decode the part whose header was read and whose bytes begin at ``start``."""
+        """Decode the part that begins at ``start``, behind its header. Returns whether it was complete."""
         if not (header.startswith(b"$") and header[1:].isdigit()):
             raise BadFrameError("not a bulk string")
         end = start + int(header[1:])
-        # Checked on the length alone, so that what announces 3 GB is never buffered.
+        # The announced length is checked, so that a part that announces 3 GB is never buffered.
         if end - start > MAX_PART_BYTES[len(parts)]:
             raise BadFrameError("an answer that is too long")
         if len(self._buffer) < end + len(CRLF):
             return False
-        # With a length that is too short, the result would be passed on truncated.
+        # Without this check, a length that is too short would truncate the result.
         if self._buffer[end : end + len(CRLF)] != CRLF:
             raise BadFrameError("a length that does not fit")
         parts.append(bytes(self._buffer[start:end]))
@@ -129,19 +129,19 @@
 
 
 class _AnswerFields(NamedTuple):
-    """The fields of an answer that are used."""
+    """The fields of an answer that the router uses."""
 
     pages: int
     page: int
     report: dict[str, float] | None
 
 
-def _answer(txn: bytes, word: bytes, fields: bytes, body: bytes) -> EngineAnswer:
-    """An answer that is framed correctly; one with impossible contents is ``INVALID``."""
+def _decode_answer(txn: bytes, word: bytes, fields: bytes, body: bytes) -> EngineAnswer:
+    """Decode the parts of a complete answer; an answer with impossible contents is ``INVALID``."""
     name = txn.decode(errors="replace")
     kind = ANSWER_KINDS.get(word, AnswerKind.INVALID)
     try:
-        pages, page, report = _answer_fields(fields)
+        pages, page, report = _decode_fields(fields)
     except ValueError:
         return EngineAnswer(name, AnswerKind.INVALID)
     pages_fit = 1 <= pages <= MAX_PAGES and 0 <= page < MAX_PAGES
@@ -150,21 +150,23 @@
     return EngineAnswer(name, kind, body, pages, page, report)
 
 
-def _answer_fields(fields: bytes) -> _AnswerFields:
-    """Raises ``ValueError`` for fields that cannot be read."""
-    named: dict[str, str] = {}
+def _decode_fields(fields: bytes) -> _AnswerFields:
+    """Decode the fields of an answer. Raises ``ValueError`` for malformed fields."""
+    values: dict[str, str] = {}
     if fields != NO_FIELDS:
-        named = dict(item.split("=", 1) for item in fields.decode().split(","))
-    return _AnswerFields(int(named.get("count", 1)), int(named.get("pos", 0)), _report(named.get("gauges")))
+        values = dict(item.split("=", 1) for item in fields.decode().split(","))
+    return _AnswerFields(
+        int(values.get("count", 1)), int(values.get("pos", 0)), _load_report(values.get("gauges"))
+    )
 
 
 def _holds_rows(body: bytes) -> bool:
-    """Whether a page holds complete rows of three columns; anything else is not passed on."""
+    """Whether a page consists of complete rows of three columns; other pages are not forwarded."""
     return not body or (body.endswith(b"\n") and body.count(b"\t") == 2 * body.count(b"\n"))
 
 
-def _report(text: str | None) -> dict[str, float] | None:
-    """The load report; a gauge that is infinite or not a number is left out."""
+def _load_report(text: str | None) -> dict[str, float] | None:
+    """Decode a load report, without gauges that are infinite or not a number."""
     if not text:
         return None
     gauges: dict[str, float] = {}
--- a/grebeproxy/net/runtime.py
+++ b/grebeproxy/net/runtime.py
@@ -1,6 +1,6 @@
-"""One router on an event loop: passes events to it and carries out the effects that it returns.
+"""Runs one router on an event loop: feeds it events and executes the effects that it returns.
 
-Decisions are made by the state machine (``grebeproxy.net.router``) alone.
+Only the router's state machine (``grebeproxy.net.router``) makes decisions.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 LOG = logging.getLogger("grebeproxy")
 
-POLLS_AFTER_PAUSE = 3  # what was not read yet, the end behind it, and the report of a reset
+POLLS_AFTER_PAUSE = 3  # one each for unread data, the end of the stream after it, and the report of a reset
 
 
 class Runtime:
@@ -55,18 +55,18 @@
         self.links: dict[int, EngineConnection] = {}
         self.admins: dict[int, AdminConnection] = {}
         self._change_log: ChangeLogConnection | None = None
-        self._numbers = count(1)
+        self._connection_numbers = count(1)
         self.closing = ClosingConnections(self.timers)
         self.dialer = Dialer(self.report_dial_shortage)
         self._limited_log = RateLimitedLog(self.log, self.timers.now)
         self._overrides = self._override_sync()
         self._listener: Listener | None = None
-        self._listen_error: OSError | None = None  # raised by ``serve``
+        self._listen_error: OSError | None = None  # ``serve`` raises it
         self._done = asyncio.Event()
-        self._events: list[events.Event] = []  # for the next step
-        self._read_at = self.timers.now()  # when the first of these events was read
+        self._events: list[events.Event] = []  # events for the next step
+        self._read_at = self.timers.now()  # when the first of ``_events`` was read
         self._pauses = PauseDetector(self._read_at)
-        self._stepping = False  # the router or its effects are running
+        self._stepping = False  # whether the state machine or its effects are running
         options = router.RouterOptions(
             config.settings,
             config.limits,
@@ -92,27 +92,28 @@
         LOG.info(text)
 
     def log_limited(self, text: str) -> None:
-        """Write one log line that peers can cause, unless there was one less than a second ago."""
+        """Write one log line that peers can cause, unless the last one was less than a second ago."""
         self._limited_log.write(text)
 
     def report_dial_shortage(self, error: OSError) -> None:
-        """A connection could not be made for want of a resource of this machine."""
+        """Report that a connection could not be opened because this machine lacks a resource."""
         self._report_shortage("dial", error)
 
     def report_accept_shortage(self, error: OSError) -> None:
-        """No connection can be accepted for want of a resource of this machine."""
+        """Report that no connection can be accepted because this machine lacks a resource."""
         self._report_shortage("accept", error)
 
     def _report_shortage(self, operation: str, error: OSError) -> None:
-        """Log it, and free what closing connections hold at once."""
+        """Log the shortage, and abort closing connections to free their descriptors."""
         self.log_limited(log_line("router.resource.exhausted", operation=operation, error=error))
         self.closing.abort_all()
 
     # --- start and end
 
     async def serve(self) -> None:
-        """Serve until asked to stop and all is answered. Raises ``OSError`` for an address in use."""
-        # Bound first, so that an address in use ends the start; the state machine decides when to listen.
+        """Serve until a stop is requested and all is answered. Raises ``OSError`` for an address in use."""
+        # The socket is bound first, so that an address in use fails the start. The state machine decides when
+        # to listen.
         self._listener = self._bind()
         async with self.dialer:
             with self._admin_endpoint(), self._heartbeats():
@@ -126,7 +127,7 @@
             await self.closing.wait_until_closed()
 
     def _admin_endpoint(self) -> contextlib.AbstractContextManager[object]:
-        """Listens for operators until it is left, where the configuration gives an address for them."""
+        """A context that listens for operators if the configuration has an admin address."""
         if self.config.admin is None:
             return contextlib.nullcontext()
         listener = Listener(bind(self.config.admin), self.new_admin_connection, self.report_accept_shortage)
@@ -134,7 +135,7 @@
         return contextlib.closing(listener)
 
     def _close_connections(self) -> None:
-        """Close those of clients and operators gracefully; the timeouts no longer apply to them."""
+        """Close the connections of clients and operators gracefully; their timeouts no longer apply."""
         for connection in (*self.clients.values(), *self.admins.values()):
             connection.close_gracefully()
         self.clients.clear()
@@ -162,7 +163,7 @@
         self.log(log_line("router.listener.opened", name=self.config.name, address=f"{host}:{port}"))
 
     def stop_listening(self) -> None:
-        """Accept no more clients."""
+        """Stop accepting clients."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
@@ -170,13 +171,13 @@
     def terminate(self) -> None:
         """Answer all open requests, then exit.
 
-        A signal that came while the process was stopped is handled once it goes on: it may have come at any
-        time since the process ran last.
+        A signal that arrives while the process is stopped is handled when the process resumes. It may have
+        arrived at any time since the process last ran, so that time counts as the time of the request.
         """
         self.feed(events.StopRequested(self._pauses.ran_before(self.timers.now())))
 
     def exit(self) -> None:
-        """End ``serve`` once all that was written is sent."""
+        """End ``serve`` after all written bytes are sent."""
         self._done.set()
         self.closing.begin_exit()
 
@@ -187,10 +188,11 @@
         return self.timers.now()
 
     def feed(self, *reported: events.Event) -> None:
-        """Pass events to the router, in one step with all others of this iteration of the loop.
+        """Pass events to the router, in one step with all other events of this iteration of the loop.
 
-        A step for each could act on the first event where a later one forbids it: a process that was stopped
-        and goes on finds an engine list, a client's close and another client's request all at once.
+        With a step for each event, the router could act on one event although a later one forbids it: a
+        process that resumes after a stop finds an engine list, a client's close and another client's request
+        at once.
         """
         idle = not self._events and not self._stepping
         self._events.extend(reported)
@@ -200,26 +202,27 @@
             self.timers.call_soon(self._poll_and_step if paused else self._step_unless_outdated)
 
     def _step_unless_outdated(self) -> None:
-        """Step, unless the process stood still since the sockets were read."""
+        """Step; if the process paused since the sockets were read, poll the sockets first."""
         if self.timers.now() - self._read_at > MAX_LATENESS:
             self._poll_and_step()
         else:
             self._step()
 
     def _poll_and_step(self, polls: int = POLLS_AFTER_PAUSE) -> None:
-        """Let the loop read its sockets some times more, then step.
+        """Let the loop poll its sockets ``polls`` more times, then step.
 
-        After a pause the step would act on a part of what came during it: send a request whose client has
-        left meanwhile, or time out a peer whose bytes wait unread. The end of a connection is read only after
-        the data before it, and a reset is reported one turn later still.
+        Right after a pause, a step would act on only a part of the input that arrived during the pause: it
+        could send a request whose client has disconnected, or time out a peer whose bytes are still unread.
+        The end of a connection is read only after the data before it, and a reset is reported one iteration
+        later.
         """
-        if polls:  # the loop polls its sockets before it makes this call
+        if polls:  # The loop polls its sockets before it makes this call.
             self.timers.call_soon(lambda: self._poll_and_step(polls - 1))
         else:
             self._step()
 
     def _step(self) -> None:
-        """Give the state machine the events that were fed, and those that its effects cause in turn."""
+        """Pass the fed events to the state machine, and the events that its effects cause in turn."""
         self._stepping = True
         try:
             while self._events:
@@ -230,7 +233,7 @@
 
     @contextlib.contextmanager
     def _heartbeats(self) -> Iterator[None]:
-        """Show regularly that the loop runs, until it is left."""
+        """A context in which heartbeats report regularly that the loop runs."""
         self._heartbeat()
         try:
             yield
@@ -242,7 +245,7 @@
         self._heartbeat_timer = self.timers.call_later(HEARTBEAT_INTERVAL, self._heartbeat)
 
     def wake_at(self, due: float) -> None:
-        """Feed ``Woken`` at that time; replaces an earlier call."""
+        """Feed a ``Woken`` event at the time ``due``; replaces an earlier wake-up."""
         self.timers.wake_at(due, self._wake)
 
     def _wake(self) -> None:
@@ -251,12 +254,14 @@
     # --- connections
 
     def new_client_connection(self) -> ClientConnection:
-        """The protocol of a client's connection that was accepted."""
-        return ClientConnection(self, next(self._numbers), self.config.settings, self.bounds, self.clients)
+        """Create the protocol of an accepted client connection."""
+        return ClientConnection(
+            self, next(self._connection_numbers), self.config.settings, self.bounds, self.clients
+        )
 
     def new_admin_connection(self) -> AdminConnection:
-        """The protocol of an operator's connection that was accepted."""
-        return AdminConnection(self, next(self._numbers), self.admins)
+        """Create the protocol of an accepted operator connection."""
+        return AdminConnection(self, next(self._connection_numbers), self.admins)
 
     def open_link(self, number: int, address: events.Address) -> None:
         """Connect to an engine."""
@@ -265,7 +270,7 @@
         self.dialer.dial(link, address)
 
     def open_change_log(self, effect: events.OpenChangeLog) -> None:
-        """Connect to the change log, closing an earlier connection."""
+        """Connect to the change log and close an earlier connection."""
         if self._change_log is not None:
             self._change_log.close()
         decoder = changelog.Decoder(self.config.settings, self.timers.from_unix_ms)
@@ -273,35 +278,35 @@
         self.dialer.dial(self._change_log, effect.address)
 
     def save_overrides(self, calls: manual_overrides.Calls) -> None:
-        """Write the manual overrides for this router's other processes, where they share a folder."""
+        """Save the manual overrides for the other processes of this router, if they share a folder."""
         if self._overrides is not None:
             self._overrides.save(calls)
 
     # --- configuration
 
-    def reload(self, read: Callable[[], Config]) -> None:
-        """Read the configuration again and apply what may change while serving.
+    def reload(self, read_config: Callable[[], Config]) -> None:
+        """Reload the configuration and apply the parts that may change while serving.
 
-        Where it cannot be used, the log says why and the configuration stays as it was.
+        If the new configuration is invalid, the reason is logged and the old configuration stays in force.
         """
         try:
-            fresh = read()
-            fresh.check_against(self.config)
+            new_config = read_config()
+            new_config.check_against(self.config)
         except ConfigError as error:
             self.log(log_line("router.configuration.rejected", error=error))
             return
-        before = self.config
-        self.config = before.updated_while_serving(fresh)
-        if replace(fresh, listen_fd=before.listen_fd, folder=before.folder) == self.config:
+        old_config = self.config
+        self.config = old_config.updated_while_serving(new_config)
+        if replace(new_config, listen_fd=old_config.listen_fd, folder=old_config.folder) == self.config:
             self.log(log_line("router.configuration.reloaded"))
-        else:  # keys differ that take effect at the next start only
+        else:  # Some changed keys take effect only at the next start.
             self.log(log_line("router.configuration.reloaded", restart_needed="true"))
-        if before.settings != fresh.settings:
-            self._retune(fresh.settings)
-        self.feed(events.Reloaded(fresh.changelog, fresh.settings, fresh.limits))
+        if old_config.settings != new_config.settings:
+            self._apply_settings(new_config.settings)
+        self.feed(events.Reloaded(new_config.changelog, new_config.settings, new_config.limits))
 
-    def _retune(self, settings: Settings) -> None:
-        """Have connections decode by these settings."""
+    def _apply_settings(self, settings: Settings) -> None:
+        """Make open connections decode by these settings."""
         for client in self.clients.values():
             client.apply_settings(settings)
         if self._change_log is not None:
--- a/grebeproxy/net/timers.py
+++ b/grebeproxy/net/timers.py
@@ -1,4 +1,4 @@
-"""A router's clock, and calls that are due later, on the running event loop."""
+"""A router's clock, and delayed calls on the running event loop."""
 
 from __future__ import annotations
 
@@ -12,52 +12,53 @@
 
 
 class Cancellable(Protocol):
-    """A call that is due later."""
+    """A delayed call."""
 
     def cancel(self) -> None:
-        """Do not make the call."""
+        """Cancel the call."""
 
 
 class LoopTimers:
-    """Times in seconds on the monotonic clock, and calls on the running event loop.
+    """Times in seconds on the monotonic clock, and delayed calls on the running event loop.
 
-    Methods that schedule a call need a running loop.
+    Methods that schedule a call require a running event loop.
     """
 
     def __init__(self) -> None:
         self._wake: Cancellable | None = None
-        # Read once: with a fresh offset each time, an engine's start that is reported again would differ by a
-        # little, and the decision module would take it for another start and the engine for cold.
+        # The offset is read only once. With a new offset for each conversion, a start time that is reported
+        # again would differ slightly, and the decision module would treat the engine as restarted and cold.
         self._unix_offset = time.time() - time.monotonic()
 
     def now(self) -> float:
-        """The monotonic clock, in seconds."""
+        """The time on the monotonic clock, in seconds."""
         return time.monotonic()
 
     def from_unix_ms(self, unix_ms: int) -> float:
-        """A Unix time in milliseconds, on the clock of ``now``."""
+        """Convert a Unix time in milliseconds to the clock of ``now``."""
         return unix_ms / MS_PER_SECOND - self._unix_offset
 
     def call_soon(self, call: Callable[[], None]) -> None:
-        """Call in the loop's next iteration."""
+        """Make the call in the loop's next iteration."""
         asyncio.get_running_loop().call_soon(call)
 
     def call_later(self, delay: float, call: Callable[[], None]) -> Cancellable:
-        """Call after ``delay`` seconds."""
+        """Make the call after ``delay`` seconds."""
         return asyncio.get_running_loop().call_later(delay, call)
 
     def wake_at(self, due: float, call: Callable[[], None]) -> None:
-        """Call at the time ``due``, once the sockets were read. Replaces the call asked for before."""
+        """Make the call at the time ``due``, after reading the sockets. Replaces the previous wake-up."""
         if self._wake is not None:
             self._wake.cancel()
-        # The loop's timers count in milliseconds. Rounded up, or an early wake would be asked for again.
+        # The loop's timers have a resolution of milliseconds. Without rounding up, a timer would fire early
+        # and the router would request another wake-up.
         delay = max(0.0, math.ceil((due - self.now()) * MS_PER_SECOND) / MS_PER_SECOND)
         self._wake = self.call_later(delay, lambda: self._call_after_reading(call))
 
     def _call_after_reading(self, call: Callable[[], None]) -> None:
-        """Read what has come meanwhile, then call.
+        """Let the loop read its sockets, then make the call.
 
         The loop runs timers before it polls the sockets, so a timer could act on outdated state. A callback
-        scheduled by a scheduled callback runs after that poll.
+        that another callback schedules runs after that poll.
         """
         self.call_soon(lambda: self.call_soon(call))
--- a/grebeproxy/settings/__init__.py
+++ b/grebeproxy/settings/__init__.py
@@ -1,7 +1,7 @@
-"""The settings of a deployment's routers: from their JSON form to the decision module's ``Settings``.
+"""Decodes the settings of a deployment's routers from JSON to the decision module's ``Settings``.
 
-The simulator adapter and the router on sockets both read them here, so both decide by the same values. The
-JSON keys are named in ``fields`` and mapped once, in ``decode``, ``wire_limits`` and ``load_report``.
+The simulator adapter and the router on sockets both use this package, so both decide by the same values. The
+module ``fields`` names the JSON keys; only ``decode``, ``wire_limits`` and ``load_report`` map them.
 """
 
 from grebeproxy.settings.decode import SettingsError, settings_from
--- a/grebeproxy/settings/decode.py
+++ b/grebeproxy/settings/decode.py
@@ -1,4 +1,4 @@
-"""The decision module's ``Settings`` from their JSON form, one function for each part."""
+"""Decodes the decision module's ``Settings`` from JSON, with one function for each part."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from grebeproxy.settings.load_report import REPORT_NAMES
 from grebeproxy.units import seconds
 
-if TYPE_CHECKING:  # types alone, which would take milliseconds of each start
+if TYPE_CHECKING:  # imports for types only would slow down each start by milliseconds
     from grebeproxy.settings.fields import (
         CategoryFields,
         FamilyFields,
@@ -27,19 +27,19 @@
     "dedup": api.Idempotency.IDEMPOTENCY_KEY,
     "fragile": api.Idempotency.NON_IDEMPOTENT,
 }
-POLLED_LIST = "ask"  # a mode in which the router asks for the engine list
-NO_REPORTS = "silent"  # a way of load reports
+POLLED_REGISTRY_MODE = "ask"  # the registry mode in which the router polls the engine list
+NO_LOAD_REPORTS = "silent"  # the value of stats.via for engines that send no load reports
 
 
 class SettingsError(GrebeproxyError, ValueError):
-    """A settings field that cannot be used; the text begins with the field's name.
+    """A settings field is invalid; the text begins with the field's name.
 
-    It is also a ``ValueError``, which is what callers caught before it was a class of its own.
+    The error is also a ``ValueError`` for the sake of callers that catch that class.
     """
 
 
-class ListedByName(NamedTuple):
-    """Lists that hold a value for each category (the first three) or for each kind of engine."""
+class ParallelLists(NamedTuple):
+    """Lists with one value for each category (the first three) or for each kind of engine (the others)."""
 
     threads: Sequence[int]
     locks_data_set: Sequence[bool]
@@ -49,12 +49,12 @@
 
 
 def settings_from(profile: Mapping[str, object]) -> api.Settings:
-    """The settings of one router.
+    """Decode the settings of one router.
 
-    Raises ``KeyError`` for a missing key, ``SettingsError`` naming the field, or what Python raises for a
-    value of another type.
+    Raises ``KeyError`` for a missing key, ``SettingsError`` that names an invalid field, or Python's own
+    error for a value of a wrong type.
     """
-    # Parts are read in a fixed order: of several faults, operators are told the same one each time.
+    # The parts are decoded in a fixed order, so that of several errors the same one is always reported.
     fields = cast("SettingsFields", profile)
     family = fields.get("familyInfo", {})
     limits = fields["limits"]
@@ -66,7 +66,7 @@
     _check_numbers(categories, limits)
     classes = _classes(categories, lists)
     budget = _attempt_budget(obligations)
-    polls = fields.get("registryMode") == POLLED_LIST
+    polls = fields.get("registryMode") == POLLED_REGISTRY_MODE
     return api.Settings(
         classes=classes,
         kinds=_kinds(fields["kinds"], lists),
@@ -98,8 +98,8 @@
     )
 
 
-def _lists(fields: SettingsFields, family: FamilyFields) -> ListedByName:
-    """The lists, with defaults, checked for their lengths."""
+def _lists(fields: SettingsFields, family: FamilyFields) -> ParallelLists:
+    """Decode the lists with their defaults, and check their lengths."""
     categories = fields["categories"]
     threads = family.get("dop") or [1] * len(categories)
     locks_data_set = family.get("holdsTables") or [False] * len(categories)
@@ -112,32 +112,32 @@
     _check_length("yieldsToLoads", waits_for_loads, categories)
     _check_length("cpuOfKind", cores, kinds)
     _check_length("kindMemoryMb", memory_mb, kinds)
-    return ListedByName(threads, locks_data_set, waits_for_loads, cores, memory_mb)
+    return ParallelLists(threads, locks_data_set, waits_for_loads, cores, memory_mb)
 
 
 def _check_length(key: str, values: Sequence[object], names: Sequence[object]) -> None:
     if len(values) != len(names):
-        raise SettingsError(f"familyInfo.{key}: {len(values)} values for {len(names)}")
+        raise SettingsError(f"familyInfo.{key}: must have {len(names)} values, has {len(values)}")
 
 
 def _check_numbers(categories: list[CategoryFields], limits: LimitFields) -> None:
-    """Check the numbers without which no request could be served."""
+    """Check the numbers that are needed to serve any request."""
     for index, category in enumerate(categories):
-        where = f"categories.{index}."
-        _check_above_zero(category["aim"], f"{where}aim")
-        _check_above_zero(category["deadline"], f"{where}deadline")
-    most = limits["mostTries"]
-    _check_above_zero(most, "limits.mostTries")
-    if float(most) != int(most):
+        prefix = f"categories.{index}."
+        _check_above_zero(category["aim"], f"{prefix}aim")
+        _check_above_zero(category["deadline"], f"{prefix}deadline")
+    max_attempts = limits["mostTries"]
+    _check_above_zero(max_attempts, "limits.mostTries")
+    if float(max_attempts) != int(max_attempts):
         raise SettingsError("limits.mostTries: must be a whole number")
 
 
-def _check_above_zero(value: object, where: str) -> None:
+def _check_above_zero(value: object, key: str) -> None:
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < float("inf"):
-        raise SettingsError(f"{where}: must be a number above 0")
+        raise SettingsError(f"{key}: must be a number above 0")
 
 
-def _classes(categories: list[CategoryFields], lists: ListedByName) -> tuple[api.QueryClass, ...]:
+def _classes(categories: list[CategoryFields], lists: ParallelLists) -> tuple[api.QueryClass, ...]:
     return tuple(
         api.QueryClass(
             name=category["name"],
@@ -165,7 +165,7 @@
     return frozenset(values) if values else None
 
 
-def _kinds(names: list[str], lists: ListedByName) -> tuple[api.EngineKind, ...]:
+def _kinds(names: list[str], lists: ParallelLists) -> tuple[api.EngineKind, ...]:
     return tuple(
         api.EngineKind(name, lists.cores[index], lists.memory_mb[index]) for index, name in enumerate(names)
     )
@@ -210,7 +210,7 @@
 
 
 def _load_report_fields(stats: StatFields) -> tuple[str, ...]:
-    """The columns of load reports, under the module's names; none where engines send no reports."""
-    if stats.get("via") == NO_REPORTS:
+    """The columns of load reports under the decision module's names; empty if engines send no reports."""
+    if stats.get("via") == NO_LOAD_REPORTS:
         return ()
     return tuple(REPORT_NAMES[column] for column in stats.get("columns", ()) if column in REPORT_NAMES)
--- a/grebeproxy/settings/fields.py
+++ b/grebeproxy/settings/fields.py
@@ -1,6 +1,6 @@
-"""The keys of the settings' JSON form, which the operators chose. Times are in milliseconds.
+"""The keys of the settings' JSON form, which the operators define. Times are in milliseconds.
 
-These types say what a file should hold; only reading it checks what it does hold.
+These types describe a valid file. The contents of an actual file are checked only when the file is decoded.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 
 
 class FamilyFields(TypedDict, total=False):
-    """What the deployment's engines do. Lists hold a value for each category, or for each kind of engine."""
+    """Properties of the engines. Lists hold one value for each category or for each kind of engine."""
 
-    dop: list[int]  # threads, by category
+    dop: list[int]  # degree of parallelism in threads, by category
     holdsTables: list[bool]  # by category
     yieldsToLoads: list[bool]  # by category
-    cpuOfKind: list[float]  # cores, by kind
-    kindMemoryMb: list[float]  # by kind
+    cpuOfKind: list[float]  # cores, by kind of engine
+    kindMemoryMb: list[float]  # by kind of engine
     memoryHeeded: bool
     largestShare: float
     overbooked: str
@@ -43,7 +43,7 @@
 
 
 class LimitFields(TypedDict):
-    """What a router may do."""
+    """Limits and permissions of a router."""
 
     mostTries: int
     retryAfter: NotRequired[bool]
@@ -59,7 +59,7 @@
 
 
 class ObligationFields(TypedDict):
-    """The rules that a router keeps."""
+    """Rules that a router has to follow."""
 
     stopSendingWithin: float
     coldFrom: float
@@ -75,7 +75,7 @@
 
 
 class PriceFields(TypedDict, total=False):
-    """Costs that decisions weigh."""
+    """Costs that the decision module weighs."""
 
     crossZone: float
     waste: float
@@ -93,14 +93,14 @@
 
 
 class StatFields(TypedDict, total=False):
-    """Load reports: their columns, and how they come."""
+    """Load reports: their columns and how engines send them."""
 
     columns: list[str]
     via: str
 
 
 class ClientFields(TypedDict, total=False):
-    """What clients do."""
+    """Properties of the clients."""
 
     marksRetry: bool
 
--- a/grebeproxy/settings/load_report.py
+++ b/grebeproxy/settings/load_report.py
@@ -1,4 +1,4 @@
-"""Load reports of engines, from the operators' column names to the decision module's."""
+"""Maps the columns of engines' load reports from the operators' names to the decision module's names."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     "failed_ps": "error_rate",
     "x0": "memory_granted",
     "x1": "disks_busy",
-    # Shorter names that some columns have on sockets.
+    # Alternative names of some columns, which engines use on sockets.
     "inflight": "in_flight",
     "queue": "waiting",
     "util": "cpu",
@@ -27,7 +27,7 @@
 
 
 def load_report_from(columns: Mapping[str, float] | None) -> dict[str, float] | None:
-    """A load report under the module's names, times in seconds; unknown columns are left out."""
+    """Convert a load report to the decision module's names and to seconds, without unknown columns."""
     if not columns:
         return None
     return {
--- a/grebeproxy/settings/wire_limits.py
+++ b/grebeproxy/settings/wire_limits.py
@@ -1,4 +1,4 @@
-"""The limits that only a router on real connections has to keep by itself."""
+"""The limits that a router on real connections has to enforce itself."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from grebeproxy.units import seconds
 
-if TYPE_CHECKING:  # types alone, which would take milliseconds of each start
+if TYPE_CHECKING:  # imports for types only would slow down each start by milliseconds
     from grebeproxy.settings.fields import SettingsFields
 
 DEFAULT_CONNECT_TIMEOUT = 1.0  # seconds
@@ -18,16 +18,16 @@
 
 @dataclass(frozen=True, slots=True)
 class WireLimits:
-    """The limits of connections and open requests; times in seconds."""
+    """The limits on connections and open requests. Times are in seconds."""
 
     connect_timeout: float
     idle_timeout: float
     multiplex: int
-    max_open: int
+    max_open: int  # open requests
 
 
 def wire_limits_from(profile: Mapping[str, object]) -> WireLimits:
-    """The limits in the settings' JSON form. Raises ``KeyError`` where there are none."""
+    """Decode the limits from the settings' JSON form. Raises ``KeyError`` if they are missing."""
     limits = cast("SettingsFields", profile)["limits"]
     return WireLimits(
         connect_timeout=seconds(limits.get("connectTimeout")) or DEFAULT_CONNECT_TIMEOUT,
--- a/grebeproxy/signals.py
+++ b/grebeproxy/signals.py
@@ -1,4 +1,4 @@
-"""Signals that come while the program starts."""
+"""Blocks signals while the program starts."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 HANDLED = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
 
-def hold() -> None:
-    """Keep the signals that the program handles pending until ``release``: by default they would end it."""
+def block() -> None:
+    """Keep handled signals pending until ``unblock``; their default action would end the program."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
 
 
-def release() -> None:
-    """Deliver them from now on, those that came meanwhile at once."""
+def unblock() -> None:
+    """Deliver pending signals now, and further ones as they arrive."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED)
