--- a/grebeproxy/peers/__init__.py
+++ b/grebeproxy/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Membership, duties and records that routers share; not imported unless an operator file enables them."""
+"""Membership, duties and replicated records of routers; imported only if an operator file enables them."""
 
 from grebeproxy.peers.node import Node
 from grebeproxy.peers.operator_file import OperatorFileError, PeersConfig, load, parse
--- a/grebeproxy/peers/duty_client.py
+++ b/grebeproxy/peers/duty_client.py
@@ -1,9 +1,9 @@
-"""The client side of a duty: one line over a connection of its own, and one line in answer.
+"""The client side of a duty's report: one request line and one answer line over a connection of its own.
 
     request = "do" NAME BALLOT HOLDER
     answer  = "ACK" ...  |  "NAK" BALLOT HOLDER
 
-A ``NAK`` carries the highest fencing token that the receiver has seen.
+A ``NAK`` carries the highest fencing token (ballot and holder) that the receiver has seen.
 """
 
 from __future__ import annotations
@@ -19,27 +19,28 @@
 
 REPORT_TIMEOUT = 2.0  # seconds for one report, from connecting to the answer
 MAX_BALLOT_DIGITS = 16
-MAX_LOGGED_ANSWER = 40  # bytes of an answer that is not understood
+MAX_LOGGED_ANSWER_BYTES = 40  # bytes of an invalid answer that an error quotes
 
 
 class DutyAnswerError(GrebeproxyError, OSError):
     """The receiver of a report answered with a line that is neither ``ACK`` nor ``NAK``.
 
-    Derives from ``OSError`` as well, so that it counts as a failed report like a lost connection.
+    The class also derives from ``OSError``, so that an invalid answer counts as a failed report, as a lost
+    connection does.
     """
 
 
 async def report(duty: Duty, token: Token) -> Token | None:
-    """Do a duty once; ``None`` where it was acknowledged.
+    """Send one report of a duty, and return ``None`` if the receiver acknowledged it.
 
-    Gives the higher ``(ballot, holder)`` token where it was rejected. Raises ``OSError`` where the connection
-    fails and ``DutyAnswerError`` for any other answer. Has no time-out of its own.
+    Returns the higher fencing token if the receiver rejected the report. Raises ``OSError`` if the connection
+    fails, and ``DutyAnswerError`` for any other answer. The caller sets the timeout.
     """
     ballot, holder = token
     async with _connection(duty.report) as (reader, writer):
         writer.write(f"do {duty.name} {ballot} {holder}\n".encode())
         line = await reader.readline()
-    return _rejecting_token(line)
+    return _parse_answer(line)
 
 
 @asynccontextmanager
@@ -49,14 +50,14 @@
         yield reader, writer
     finally:
         writer.close()
-        with suppress(OSError):  # the answer counts, not how the connection ended after it
+        with suppress(OSError):  # An error while closing doesn't invalidate the answer.
             await writer.wait_closed()
 
 
-def _rejecting_token(line: bytes) -> Token | None:
+def _parse_answer(line: bytes) -> Token | None:
     match line.decode("utf-8", "replace").split():
         case ["ACK", *_]:
             return None
         case ["NAK", ballot, holder] if ballot.isdecimal() and len(ballot) <= MAX_BALLOT_DIGITS:
             return Token(int(ballot), holder)
-    raise DutyAnswerError(f"not an answer: {line[:MAX_LOGGED_ANSWER]!r}")
+    raise DutyAnswerError(f"invalid answer: {line[:MAX_LOGGED_ANSWER_BYTES]!r}")
--- a/grebeproxy/peers/duty_leases.py
+++ b/grebeproxy/peers/duty_leases.py
@@ -1,4 +1,4 @@
-"""The leases of the configured duties: votes become payloads, and outcomes start and stop duties."""
+"""The leases of the configured duties: sends votes as payloads, and starts and stops duties."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from grebeproxy.peers.operator_file import PeersConfig
 from grebeproxy.peers.payloads import pack_vote
 
-LONG_SLEEP = 3600.0  # seconds until a part is woken that has requested no time
+DEFAULT_WAKE_DELAY = 3600.0  # seconds until a component is woken that has not requested a time
 
 
 class DutyLeases:
-    """One router's votes, and its claims on the leases of all configured duties."""
+    """The lease state machine of one router: its votes, and its claims to the leases of all duties."""
 
     def __init__(
         self, config: PeersConfig, instance: int, members: membership.Membership, rng: Random, now: float
@@ -34,16 +34,16 @@
         return self.step(now, *(lease.LeaseWanted(duty) for duty in self._duties))
 
     def release_all(self, now: float) -> list[Effect]:
-        """Give the leases back, and request them no longer."""
+        """Release the leases of all duties, and stop requesting them."""
         return self.step(now, *(lease.LeaseWanted(duty, False) for duty in self._duties))
 
     def wake(self, now: float) -> list[Effect]:
-        """Let time-outs pass."""
-        self.wake_at = now + LONG_SLEEP
+        """Let the lease state machine handle the timeouts that are due."""
+        self.wake_at = now + DEFAULT_WAKE_DELAY
         return self.step(now, lease.Woken())
 
     def step(self, now: float, *events: lease.Event) -> list[Effect]:
-        """Pass events to the lease core; gives what the node is to carry out."""
+        """Pass events to the lease state machine, and return the node's effects."""
         effects: list[Effect] = []
         for effect in self.leases.step(now, events):
             match effect:
--- a/grebeproxy/peers/interface.py
+++ b/grebeproxy/peers/interface.py
@@ -1,4 +1,4 @@
-"""What goes into the node and what comes out of it: events and effects, as plain values."""
+"""The interface of the node: its events and effects, as plain values."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from grebeproxy.membership.lease import Token
 from grebeproxy.membership.model import Address
 
-# --- events
+# --- Events
 
 
 @dataclass(frozen=True, slots=True)
 class PayloadReceived:
-    """The payload of a datagram, opened but not checked."""
+    """A payload was received in a datagram; its packet is verified, its fields are not."""
 
     payload: Any
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """The time requested with ``Wake`` has come."""
+    """The time that ``Wake`` requested has come."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyRejected:
-    """The receiver of a duty's report rejected it: it has seen a higher fencing token."""
+    """The receiver of a duty's report rejected it because it has seen a higher fencing token, ``token``."""
 
     duty: str
     token: Token
@@ -39,12 +39,12 @@
 Event = Union[PayloadReceived, Tick, ShutdownRequested, DutyRejected]
 
 
-# --- effects
+# --- Effects
 
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """Send a payload."""
+    """Send a payload to an address."""
 
     to: Address
     payload: Any
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wake:
-    """Send ``Tick`` at that time; replaces an earlier ``Wake``."""
+    """Deliver a ``Tick`` at a time in seconds; replaces an earlier ``Wake``."""
 
     at: float
 
@@ -67,14 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartDuty:
-    """This router is the holder of a duty's lease from now on; it checks ``Node.token`` before each act."""
+    """This router has acquired a duty's lease; it must check ``Node.token`` before each report."""
 
     duty: str
 
 
 @dataclass(frozen=True, slots=True)
 class StopDuty:
-    """This router no longer holds the duty's lease."""
+    """This router no longer holds a duty's lease."""
 
     duty: str
 
--- a/grebeproxy/peers/node.py
+++ b/grebeproxy/peers/node.py
@@ -1,8 +1,8 @@
-"""Membership, duty leases and the replica store, put together behind one state machine.
+"""Membership, duty leases and the replica store, combined into one state machine.
 
-I/O-free like its parts: ``step(now, events)`` gives effects. The node hands each payload to the part that it
-is for, and passes each new view of the members to the leases and the store. The runtime seals and opens
-datagrams, runs the timer and does the duties.
+Like its components, the node does no I/O: ``step(now, events)`` returns effects. The node passes each payload
+to the component that handles its kind, and each new view of the members to the leases and the store. The
+runtime seals and opens datagrams, runs the timer and does the duties.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from grebeproxy.membership import lease
 from grebeproxy.membership.lease import Leases, Token
 from grebeproxy.membership.model import View
-from grebeproxy.peers.duty_leases import LONG_SLEEP, DutyLeases
+from grebeproxy.peers.duty_leases import DEFAULT_WAKE_DELAY, DutyLeases
 from grebeproxy.peers.interface import (
     Datagram,
     DutyRejected,
@@ -68,7 +68,7 @@
 
 
 class Node:
-    """One router's part in everything that the routers share."""
+    """One router's state machine for membership, duty leases and replicated records."""
 
     def __init__(
         self, config: PeersConfig, instance: int, rng: Random, now: float, limits: Limits | None = None
@@ -79,21 +79,22 @@
         self.members = membership.Membership(config.member, instance, rng, now)
         self._duty_leases = DutyLeases(config, instance, self.members, rng, now)
         self.store = Store(self.name, limits or Limits(), rng, now)
-        self.ended = False
-        self.rejected = 0  # malformed payloads
+        self.ended = False  # This router has left or was displaced.
+        self.malformed_payloads = 0  # number of malformed payloads received
         self._effects: list[Effect] = []
         self._membership_wake_at = now
         self._store_wake_at = now
-        self._wake_at: float | None = None  # the time of the last ``Wake``, until its ``Tick``
+        # The time of the pending ``Wake``, or ``None`` once its ``Tick`` has come.
+        self._pending_wake_at: float | None = None
 
     @property
     def view(self) -> View:
-        """The members as seen from here."""
+        """This router's view of the members."""
         return self.members.view
 
     @property
     def leases(self) -> Leases:
-        """The lease core."""
+        """The lease state machine."""
         return self._duty_leases.leases
 
     def token(self, duty: str, now: float) -> Token | None:
@@ -101,12 +102,12 @@
         return None if self.ended else self.leases.token(duty, now)
 
     def start(self, now: float) -> list[Effect]:
-        """Request the leases of all duties; gives the first effects."""
+        """Request the leases of all duties, and return the first effects."""
         self._effects += self._duty_leases.claim_all(now)
         return self._effects + self.step(now, [])
 
     def step(self, now: float, events: Iterable[Event]) -> list[Effect]:
-        """Handle events in their order; gives the effects to carry out."""
+        """Handle events in their order, and return the effects to carry out."""
         self._effects = []
         for event in events:
             if self.ended:
@@ -115,7 +116,7 @@
                 case PayloadReceived(payload):
                     self._on_payload(now, payload)
                 case Tick():
-                    self._wake_at = None
+                    self._pending_wake_at = None
                 case ShutdownRequested():
                     self._effects += self._duty_leases.release_all(now)
                     self._step_membership(now, membership.LeaveRequested())
@@ -123,40 +124,40 @@
                 case DutyRejected(duty, token):
                     self._step_leases(now, lease.TokenRejected(duty, token))
         if not self.ended:
-            self._wake_due_parts(now)
+            self._wake_due_components(now)
             self._request_wake()
         return self._effects
 
-    # --- time
+    # --- Time
 
-    def _wake_due_parts(self, now: float) -> None:
-        # Which parts are due is settled before any of them runs: a part's step may move another one's time.
+    def _wake_due_components(self, now: float) -> None:
+        # All due components are determined first: the step of one component may change another one's time.
         membership_is_due = now >= self._membership_wake_at
         leases_are_due = now >= self._duty_leases.wake_at
         store_is_due = now >= self._store_wake_at
         if membership_is_due:
-            self._membership_wake_at = now + LONG_SLEEP
+            self._membership_wake_at = now + DEFAULT_WAKE_DELAY
             self._step_membership(now, membership.Woken())
         if leases_are_due:
             self._effects += self._duty_leases.wake(now)
         if store_is_due:
             self._step_store(now, replica.Woken())
-            self._store_wake_at = self.store.next_at
+            self._store_wake_at = self.store.next_wake_at
 
     def _request_wake(self) -> None:
-        """Request a ``Wake`` if the earliest time moved up, or none is pending."""
+        """Request a ``Wake`` if none is pending, or if the pending one is after the earliest time."""
         at = min(self._membership_wake_at, self._duty_leases.wake_at, self._store_wake_at)
-        if self._wake_at is None or at < self._wake_at:
-            self._wake_at = at
+        if self._pending_wake_at is None or at < self._pending_wake_at:
+            self._pending_wake_at = at
             self._effects.append(Wake(at))
 
-    # --- payloads
+    # --- Payloads
 
     def _on_payload(self, now: float, payload: Any) -> None:
         try:
             message = unpack(payload)
         except PayloadError:
-            self.rejected += 1
+            self.malformed_payloads += 1
             return
         self._on_message(now, message)
 
@@ -172,14 +173,14 @@
                     self._step_store(now, message)
 
     def _is_current_member(self, name: object, instance: object) -> bool:
-        """Whether a process is the one that is now the member of its name: votes of others do not count."""
+        """Whether a process is the current member of its name; votes of any other process do not count."""
         fact = self.members.facts.get(name) if isinstance(name, str) else None
         return fact is not None and fact.instance == instance and name in self.view.members
 
-    # --- the parts
+    # --- Components
 
     def _step_membership(self, now: float, *events: membership.Event) -> None:
-        conflicts = self.members.name_conflicts
+        conflicts_before = self.members.name_conflicts
         for effect in self.members.step(now, events):
             match effect:
                 case membership.Send(to, message):
@@ -193,7 +194,7 @@
                 case membership.Displaced():
                     self._effects += self._duty_leases.release_all(now)
                     self.ended = True
-        if self.members.name_conflicts > conflicts:
+        if self.members.name_conflicts > conflicts_before:
             self._step_leases(now, lease.ViewUpdated(self.view, duplicate=True))
 
     def _on_view(self, now: float, view: View) -> None:
@@ -208,13 +209,13 @@
         )
         self._step_leases(now, lease.ViewUpdated(view))
         others = tuple(name for name in view.members if name != self.name)
-        self._step_store(now, replica.Members(others))
+        self._step_store(now, replica.ReachableMembers(others))
 
     def _step_leases(self, now: float, event: lease.Event) -> None:
         self._effects += self._duty_leases.step(now, event)
 
     def _step_store(self, now: float, event: replica.Event) -> None:
         for effect in self.store.step(now, [event]):
-            # A ``Changed`` needs nothing here: whoever uses what is published reads it when it decides.
+            # ``OriginChanged`` needs no action here: users of published values read them when they need them.
             if isinstance(effect, replica.Send) and (fact := self.members.facts.get(effect.to)) is not None:
                 self._effects.append(Datagram(fact.address, pack_replica(self.name, effect.message)))
--- a/grebeproxy/peers/payloads.py
+++ b/grebeproxy/peers/payloads.py
@@ -1,11 +1,11 @@
-"""The codec of payloads: what a datagram's body carries, as the lists that MessagePack writes.
+"""Packs and unpacks payloads, which are the bodies of datagrams, as the lists that MessagePack encodes.
 
     [MEMBER, message]                                              a message of ``grebeproxy.membership``
     [VOTE, sender, instance, [kind, lease, ballot, request number]]
     [DIGEST, sender, [[origin, generation, nonce, top], ...], complete, requests_newer]
     [DELTA, sender, origin, generation, nonce, base, top, age, [[key, number, value], ...]]
 
-A list may be longer than what is read here: a later version may append fields.
+A list may have more fields than are read here, because a later version may append fields.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 from grebeproxy.membership.lease import Vote, VoteKind, VoteReceived
 from grebeproxy.replica.records import Delta, Digest, Incarnation, KeyChange, Version
 
-# The kinds of payloads, as they stand on the wire.
+# The numbers of the payload kinds on the wire.
 MEMBER = 1
 VOTE = 2
 DIGEST = 3
 DELTA = 4
 
-MAX_ENTRIES = 64  # of one digest or delta
-MAX_TEXT_BYTES = 64  # of a name or a key
+MAX_ENTRIES = 64  # entries of one digest or delta
+MAX_TEXT_BYTES = 64  # bytes of a name or a key
 
 Payload = list[object]
 
 
 class PayloadError(GrebeproxyError, ValueError):
-    """A payload that was sealed with the right key but whose fields make no sense."""
+    """A payload is malformed, although its packet was sealed with the right key."""
 
 
-# What the parts of the node take. ``sender`` and ``instance`` are as received, and may be of any type.
+# Events for the components of the node. ``sender`` and ``instance`` are not checked, and may be of any type.
 Received = Union[membership.MessageReceived, VoteReceived, replica.MessageReceived]
 
 
@@ -44,7 +44,7 @@
 
 
 def pack_vote(sender: str, instance: int, vote: Vote) -> Payload:
-    """The payload of a message on a lease."""
+    """The payload of a vote message of a lease."""
     return [VOTE, sender, instance, [int(vote.kind), vote.lease, vote.ballot, vote.request_number]]
 
 
@@ -61,7 +61,7 @@
 def unpack(payload: Any) -> Received:
     """The message in a payload. Raises ``PayloadError`` for one that is malformed.
 
-    Who a message says it is from is not checked here: the node compares that with the members it knows.
+    The sender that a message names is not checked here; the node compares it with the members that it knows.
     """
     try:
         kind, fields = payload[0], payload[1:]
@@ -75,7 +75,7 @@
             return replica.MessageReceived(fields[0], _unpack_delta(fields[1:]))
     except (wire.WireError, IndexError, KeyError, TypeError, ValueError) as error:
         raise PayloadError(f"malformed: {error}") from None
-    raise PayloadError("of an unknown kind")
+    raise PayloadError("unknown payload kind")
 
 
 def _unpack_vote(fields: Any) -> Vote:
@@ -101,8 +101,8 @@
     origin, generation, nonce, base, top, age, changes = fields[:7]
     if len(changes) > MAX_ENTRIES:
         raise PayloadError("too many changes")
-    if not isinstance(age, int | float) or not age >= 0.0:  # not a number is refused as well
-        raise PayloadError("not an age")
+    if not isinstance(age, int | float) or not age >= 0.0:  # The negated comparison rejects NaN too.
+        raise PayloadError("the age is not a number of 0 or more")
     return Delta(
         _text(origin),
         Incarnation(_natural(generation), _natural(nonce)),
@@ -115,17 +115,17 @@
 
 def _text(value: Any) -> str:
     if not isinstance(value, str) or len(value.encode()) > MAX_TEXT_BYTES:
-        raise PayloadError("not a name")
+        raise PayloadError("a name or key is not text or is too long")
     return value
 
 
 def _natural(value: Any) -> int:
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        raise PayloadError("not a natural number")
+        raise PayloadError("a field is not a whole number of 0 or more")
     return int(value)
 
 
 def _value(value: Any) -> bytes | None:
     if value is not None and not isinstance(value, bytes):
-        raise PayloadError("not a value")
+        raise PayloadError("a value is neither bytes nor null")
     return value
--- a/grebeproxy/peers/runtime.py
+++ b/grebeproxy/peers/runtime.py
@@ -1,4 +1,4 @@
-"""The node on sockets: datagrams, the timer, the log and the tasks of duties. Nothing is decided here."""
+"""Runs the node on a socket: datagrams, timer, log and tasks of duties. The node makes all decisions."""
 
 from __future__ import annotations
 
@@ -15,63 +15,63 @@
 from grebeproxy.peers.node import Node
 from grebeproxy.peers.operator_file import PeersConfig
 
-INSTANCE_BYTES = 7  # of the random number that tells the processes of one name apart
-SHORTEST_DELAY = 0.001  # seconds until a tick
+INSTANCE_BYTES = 7  # length of the random number that identifies a process among those of one name
+MIN_TICK_DELAY = 0.001  # minimum seconds until a tick
 
 
 class Peers(asyncio.DatagramProtocol):
-    """One router's part, on a running loop: ``start``, and ``stop`` at the end."""
+    """One router's node on the running event loop. Call ``start`` first and ``stop`` at the end."""
 
     def __init__(self, config: PeersConfig) -> None:
         instance = int.from_bytes(os.urandom(INSTANCE_BYTES), "big")
         self.config = config
         self.node = Node(config, instance, Random(instance), self.now())
-        self._sealed = PacketCodec(config.key, instance, config.settings_digest)
+        self._packet_codec = PacketCodec(config.key, instance, config.settings_digest)
         self._log = EventLog(self.now)
         self._duty_tasks = DutyTasks(config.duties, self._token, self._on_duty_rejected, self._log.write)
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._rejected: dict[str, int] = {}  # packets, by reason
+        self._rejected_packets: dict[str, int] = {}  # number of rejected packets by reason
 
     def now(self) -> float:
-        """Seconds on the clock that the node goes by."""
+        """The time in seconds on the monotonic clock that the node uses."""
         return time.monotonic()
 
     async def start(self) -> None:
-        """Listen and join. Raises ``OSError`` where the address cannot be bound."""
+        """Listen, and join the other routers. Raises ``OSError`` if the address cannot be bound."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(lambda: self, self.config.listen)
         self._log.write("peers.node.started", name=self.config.member.name, fleet=self.config.member.fleet)
         self._carry_out(self.node.start(self.now()))
 
     async def stop(self) -> None:
-        """Give back leases, announce that this router leaves, and close the socket."""
+        """Release the leases, announce that this router leaves, and close the socket."""
         self._step(interface.ShutdownRequested())
         if self._timer is not None:
             self._timer.cancel()
         await self._duty_tasks.close()
-        # Datagrams that the socket could not accept at once leave in the loop's next turn.
+        # Datagrams that the socket could not accept at once are sent in the loop's next iteration.
         await asyncio.sleep(0.0)
         if self._transport is not None:
             self._transport.close()
 
     def datagram_received(self, data: bytes, addr: tuple[str | object, int]) -> None:
-        """Open a packet; a damaged, foreign or repeated one is counted, and logged at a bounded rate."""
+        """Open a packet; damaged, foreign and replayed packets are counted, and logged at a bounded rate."""
         try:
-            payload = self._sealed.open(data)
+            payload = self._packet_codec.open(data)
         except WireError as error:
             self._on_rejected_packet(str(error))
             return
         self._step(interface.PayloadReceived(payload))
 
     def error_received(self, exc: Exception) -> None:
-        """A member's machine reports a closed port; the health check of that member finds the same."""
+        """Ignore that a member's machine reports a closed port; the health check detects that failure too."""
 
     def _on_rejected_packet(self, reason: str) -> None:
-        count = self._rejected.get(reason, 0) + 1
-        self._rejected[reason] = count
+        count = self._rejected_packets.get(reason, 0) + 1
+        self._rejected_packets[reason] = count
         is_power_of_two = count & (count - 1) == 0
-        if is_power_of_two:  # so that the log stays bounded, however many packets come
+        if is_power_of_two:  # This bounds the log for any number of packets.
             self._log.write("peers.packet.rejected", reason=reason, count=count)
 
     def _step(self, event: interface.Event) -> None:
@@ -82,7 +82,7 @@
             match effect:
                 case interface.Datagram(to, payload):
                     if self._transport is not None:
-                        self._transport.sendto(self._sealed.seal(payload), to)
+                        self._transport.sendto(self._packet_codec.seal(payload), to)
                 case interface.Wake(at):
                     self._schedule_tick(at)
                 case interface.LogEvent(event, fields):
@@ -95,14 +95,14 @@
     def _schedule_tick(self, at: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        delay = max(SHORTEST_DELAY, at - self.now())
+        delay = max(MIN_TICK_DELAY, at - self.now())
         self._timer = asyncio.get_running_loop().call_later(delay, self._tick)
 
     def _tick(self) -> None:
         self._timer = None
         self._step(interface.Tick())
 
-    # --- duties
+    # --- Duties
 
     def _token(self, duty: str) -> Token | None:
         return self.node.token(duty, self.now())
--- a/grebeproxy/replica/__init__.py
+++ b/grebeproxy/replica/__init__.py
@@ -1,13 +1,13 @@
-"""Replicated records: each router publishes its own, and holds copies of all others. I/O-free."""
+"""Replicated records: each router publishes its own record and holds copies of all others'. I/O-free."""
 
 from grebeproxy.replica.interface import (
-    Changed,
     Effect,
     Event,
     Limits,
-    Members,
     MessageReceived,
+    OriginChanged,
     PublishLimitError,
+    ReachableMembers,
     Send,
     Woken,
 )
@@ -15,7 +15,6 @@
 from grebeproxy.replica.store import Store
 
 __all__ = [
-    "Changed",
     "Delta",
     "Digest",
     "Effect",
@@ -24,9 +23,10 @@
     "Incarnation",
     "KeyChange",
     "Limits",
-    "Members",
     "MessageReceived",
+    "OriginChanged",
     "PublishLimitError",
+    "ReachableMembers",
     "Record",
     "Send",
     "Store",
--- a/grebeproxy/replica/deltas.py
+++ b/grebeproxy/replica/deltas.py
@@ -1,16 +1,16 @@
-"""Making a delta from a record, and deciding whether and how a received one changes a copy."""
+"""Builds deltas from records, decides whether a received delta is applied to a copy, and applies it."""
 
 from __future__ import annotations
 
 from grebeproxy.replica.interface import Limits
 from grebeproxy.replica.records import HEARTBEAT_KEY, MAX_COUNTER, Delta, Entry, KeyChange, Record
 
-MAX_DELTA_BYTES = 800  # of keys and values in one packet
-CHANGE_OVERHEAD_BYTES = 16  # counted for each change in a packet, beside its key and value
+MAX_DELTA_BYTES = 800  # keys, values and overhead in one packet
+CHANGE_OVERHEAD_BYTES = 16  # size counted for each change in a packet, besides its key and value
 
 
 def delta_after(base: int, origin: str, record: Record, age: float) -> Delta:
-    """The changes after ``base`` in their order, as many as fit into one packet."""
+    """A delta with the changes after number ``base``, in their order, as many as fit into one packet."""
     changes: list[KeyChange] = []
     size = 0
     top = record.version.top
@@ -19,30 +19,31 @@
             continue
         size += len(key.encode()) + len(value or b"") + CHANGE_OVERHEAD_BYTES
         if changes and size > MAX_DELTA_BYTES:
-            top = changes[-1].number  # the rest follows at the next exchange
+            top = changes[-1].number  # The rest is sent at the next exchange.
             break
         changes.append(KeyChange(key, number, value))
     return Delta(origin, record.incarnation, base, top, age, tuple(changes))
 
 
 def is_acceptable(delta: Delta, ttl: float) -> bool:
-    """Whether a delta is younger than ``ttl`` seconds and its numbers are in bounds.
+    """Whether a delta is younger than ``ttl`` seconds and its change numbers are in bounds.
 
-    An older one is rejected, or routers would go on forwarding the record of one that no longer runs.
+    An older delta is rejected; otherwise routers would keep forwarding the record of a router that no longer
+    runs.
     """
     return delta.age < ttl and 0 <= delta.base <= delta.top <= MAX_COUNTER
 
 
-def extends(delta: Delta, copy: Record | None) -> bool:
-    """Whether a delta can be joined to the copy: no change before it is missing, and it is not outdated."""
+def can_apply(delta: Delta, copy: Record | None) -> bool:
+    """Whether a delta can be applied to the copy: no earlier change is missing, and it is not outdated."""
     if copy is None:
         return delta.base <= 0
     known_top = copy.version.top if copy.incarnation == delta.incarnation else 0
     return delta.base <= known_top and delta.version >= copy.version
 
 
-def joined(delta: Delta, copy: Record | None, now: float) -> Record:
-    """A new record: the copy, if there is one, with the delta's changes."""
+def apply_delta(delta: Delta, copy: Record | None, now: float) -> Record:
+    """A new record with the delta's changes applied to the copy, or to an empty record without a copy."""
     entries = {key: Entry(number, value) for key, number, value in delta.entries}
     made_at = now - max(0.0, delta.age)
     record = copy.copy() if copy is not None else Record()
@@ -55,12 +56,12 @@
     return len(record.entries) <= limits.keys and record.size() <= limits.record
 
 
-def publishes_the_same(before: Record | None, after: Record) -> bool:
-    """Whether two copies of one origin have the same values under all keys but the heartbeat's."""
-    return _published(before) == _published(after)
+def has_same_values(before: Record | None, after: Record) -> bool:
+    """Whether two copies of one origin have the same values under all keys except the heartbeat key."""
+    return _values(before) == _values(after)
 
 
-def _published(record: Record | None) -> dict[str, bytes]:
+def _values(record: Record | None) -> dict[str, bytes]:
     if record is None:
         return {}
     return {
--- a/grebeproxy/replica/expiry.py
+++ b/grebeproxy/replica/expiry.py
@@ -1,32 +1,32 @@
-"""When entries and records are dropped: tombstones, and records that are no longer refreshed."""
+"""Expiry of tombstones, and of records that are no longer refreshed."""
 
 from __future__ import annotations
 
 from grebeproxy.replica.records import Record
 
-TOMBSTONE_LIFETIMES = 2  # times the ttl of a record
+TOMBSTONE_LIFETIMES = 2  # lifetime of a tombstone, in multiples of the ttl of a record
 
 
 class Tombstones:
-    """Withdrawn keys and when each was learned to be withdrawn.
+    """The withdrawn keys, with the time at which this router learned of each withdrawal.
 
     A withdrawn key stays in its record as an entry without a value, so that the withdrawal spreads. The entry
-    is removed once every copy that lacks the withdrawal must itself have expired.
+    is removed once every copy that lacks the withdrawal must have expired.
     """
 
     def __init__(self, now: float) -> None:
         self.now = now  # time of the store's latest step
-        self._withdrawn_at: dict[tuple[str, str], float] = {}  # by origin and key
+        self._withdrawn_at: dict[tuple[str, str], float] = {}  # seconds, by origin and key
 
-    def record(self, origin: str, key: str, value: bytes | None) -> None:
-        """Note the value that a key has now; ``None`` makes it a tombstone."""
+    def update(self, origin: str, key: str, value: bytes | None) -> None:
+        """Register the current value of a key; ``None`` makes the key a tombstone."""
         if value is None:
             self._withdrawn_at[origin, key] = self.now
         else:
             self._withdrawn_at.pop((origin, key), None)
 
     def remove_expired(self, records: dict[str, Record], ttl: float) -> None:
-        """Remove the entries whose withdrawal every router has learned by now."""
+        """Remove the entries whose withdrawal is so old that no copy without it can still exist."""
         oldest = self.now - TOMBSTONE_LIFETIMES * ttl
         for (origin, key), withdrawn_at in list(self._withdrawn_at.items()):
             record = records.get(origin)
@@ -38,5 +38,5 @@
 
 
 def expired_origins(records: dict[str, Record], own: str, now: float, ttl: float) -> list[str]:
-    """The origins whose records were not refreshed for ``ttl`` seconds; one's own record never expires."""
+    """The origins whose records were not refreshed for ``ttl`` seconds; ``own`` never expires."""
     return [origin for origin, record in records.items() if origin != own and now - record.changed_at >= ttl]
--- a/grebeproxy/replica/interface.py
+++ b/grebeproxy/replica/interface.py
@@ -1,4 +1,4 @@
-"""What goes into the store and what comes out of it: limits, events, effects and errors."""
+"""The interface of the replica store: its limits, events, effects and errors."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 
 class PublishLimitError(GrebeproxyError, ValueError):
-    """A value could not be published: the key or the record would exceed ``Limits``.
+    """A value could not be published, because the key or the record would exceed ``Limits``.
 
-    Derives from ``ValueError`` as well, which callers caught before this class existed.
+    The class also derives from ``ValueError``, which callers caught before this class existed.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds and times, in bytes and seconds. They must be the same at all routers."""
+    """Size limits in bytes and times in seconds. They must be the same at all routers."""
 
-    origins: int = 1024  # whose records are kept
-    keys: int = 256  # of one origin
+    origins: int = 1024  # number of origins whose records are kept
+    keys: int = 256  # number of keys of one origin
     value: int = 600  # bytes of one value
     record: int = 32 * 1024  # bytes of one origin's record
-    exchange_interval: float = 0.5  # mean time between the exchanges that a router begins
-    ttl: float = 15.0  # after which a record that was not refreshed expires
+    exchange_interval: float = 0.5  # mean seconds between two exchanges that a router begins
+    ttl: float = 15.0  # seconds until a record that is not refreshed expires
 
 
-# --- events
+# --- Events
 
 
 @dataclass(frozen=True, slots=True)
-class Members:
-    """The names of the members that can be reached, without this router's own."""
+class ReachableMembers:
+    """The names of the members that this router can reach, without its own name."""
 
     names: tuple[str, ...]
 
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Woken:
-    """The time is ``Store.next_at`` or later."""
+    """The time ``Store.next_wake_at`` has come."""
 
 
-# --- effects
+# --- Effects
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,11 +63,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
-    """What an origin publishes has changed; an origin whose record expired publishes nothing."""
+class OriginChanged:
+    """The values that an origin publishes have changed; after its record expires there are none."""
 
     origin: str
 
 
-Event = Union[Members, MessageReceived, Woken]
-Effect = Union[Send, Changed]
+Event = Union[ReachableMembers, MessageReceived, Woken]
+Effect = Union[Send, OriginChanged]
--- a/grebeproxy/replica/records.py
+++ b/grebeproxy/replica/records.py
@@ -1,9 +1,9 @@
 """Versioned records: one per origin, with a join that is commutative, associative and idempotent.
 
-An origin numbers its changes. A copy holds the latest entry of every key among all changes up to its ``top``,
-so of two copies of one incarnation the one with the higher ``top`` holds everything the other does, and one
-number tells them apart. Each process of an origin has an incarnation of its own: a copy of a later
-incarnation replaces one of an earlier incarnation completely.
+An origin numbers its changes. A copy holds the latest entry of every key among all changes up to the number
+``top``. Of two copies of one incarnation, the one with the higher ``top`` therefore holds everything that the
+other holds, and comparing this number suffices. Each process of an origin has an incarnation of its own, and
+a copy of a later incarnation replaces a copy of an earlier one completely.
 """
 
 from __future__ import annotations
@@ -11,31 +11,31 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-HEARTBEAT_KEY = ""  # the key that an origin changes only to refresh its record
+HEARTBEAT_KEY = ""  # key that an origin changes only to refresh its record
 MAX_COUNTER = 2**53  # highest generation and change number that are accepted from others
-ENTRY_OVERHEAD_BYTES = 8  # counted for each entry of a record, beside its key and value
+ENTRY_OVERHEAD_BYTES = 8  # counted for each entry of a record, besides its key and value
 
 
 class Entry(NamedTuple):
     """The latest value of one key."""
 
-    number: int  # of the change that made it
-    value: bytes | None  # ``None``: withdrawn (a tombstone)
+    number: int  # number of the change that set this value
+    value: bytes | None  # ``None`` if the key is withdrawn (a tombstone)
 
 
 class Incarnation(NamedTuple):
-    """Tells the processes of one origin apart; ordered, the later one is the higher."""
+    """Identifies one process of an origin. Incarnations are ordered; the later one is the higher one."""
 
-    generation: int  # raised by a process that meets a higher incarnation of its own name
-    nonce: int  # random
+    generation: int  # A process raises this when it meets a higher incarnation of its own name.
+    nonce: int  # random number
 
 
 class Version(NamedTuple):
-    """How far a copy goes; ordered by incarnation, then by the number of the last change."""
+    """The version of a copy. Versions are ordered by incarnation, then by the number of the last change."""
 
     generation: int
     nonce: int
-    top: int
+    top: int  # number of the last change
 
     @property
     def incarnation(self) -> Incarnation:
@@ -58,9 +58,9 @@
 
 @dataclass(slots=True)
 class Record:
-    """The keys of one origin.
+    """The keys of one origin, with their latest entries.
 
-    ``changed_at`` is when the last change was made, in seconds on the local clock, as far as is known.
+    ``changed_at`` is the time of the last change, in seconds on the local clock, as far as it is known.
     """
 
     version: Version = FIRST_VERSION
@@ -69,22 +69,22 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The process of the origin that made the changes."""
+        """The process of the origin that made the record's changes."""
         return self.version.incarnation
 
     def copy(self) -> Record:
-        """The same with a dict of entries of its own."""
+        """A copy of this record with its own dict of entries."""
         return Record(self.version, self.changed_at, dict(self.entries))
 
     def size(self) -> int:
-        """Bytes of keys and values, with ``ENTRY_OVERHEAD_BYTES`` for each entry."""
+        """The size in bytes of all keys and values, with ``ENTRY_OVERHEAD_BYTES`` added for each entry."""
         return sum(
             len(key.encode()) + len(value or b"") + ENTRY_OVERHEAD_BYTES
             for key, (_, value) in self.entries.items()
         )
 
     def join(self, other: Record) -> None:
-        """Take in what the other copy holds and this one does not."""
+        """Merge the other copy of the same origin into this one."""
         if other.incarnation < self.incarnation:
             return
         if other.incarnation > self.incarnation:
@@ -102,16 +102,16 @@
 
 
 def _rank(entry: Entry) -> tuple[int, bytes]:
-    # Two values under one number are a fault of the origin; all copies must still prefer the same one.
+    # Two values under one number are an error of the origin. All copies must still choose the same value.
     return entry.number, b"" if entry.value is None else b"\1" + entry.value
 
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """How far the sender's copies go, as pairs of an origin and a version.
+    """The versions of the sender's copies, as pairs of an origin and a version.
 
-    ``complete``: the sender holds no other origins; ``requests_newer``: the receiver is to answer with a
-    digest of what it lacks, so that the sender sends that too.
+    ``complete`` says that the sender holds copies of no other origins. ``requests_newer`` asks the receiver
+    to answer with a digest of its outdated copies, so that the sender can send it the missing changes.
     """
 
     versions: tuple[tuple[str, Version], ...]
@@ -121,9 +121,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Delta:
-    """The changes of an origin after ``base`` up to ``top``, for copies that go at least as far as ``base``.
+    """An origin's changes after number ``base`` up to ``top``, for copies that hold all up to ``base``.
 
-    ``age`` is how many seconds ago the change ``top`` was made, as far as the sender knows.
+    ``age`` is the age of the change ``top`` in seconds, as far as the sender knows.
     """
 
     origin: str
@@ -135,6 +135,6 @@
 
     @property
     def version(self) -> Version:
-        """How far a copy goes that has taken this delta in."""
+        """The version of a copy to which this delta has been applied."""
         generation, nonce = self.incarnation
         return Version(generation, nonce, self.top)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -149,7 +149,7 @@
     for number, payload in enumerate(payloads):
         router.step(0.01 * number, [PayloadReceived(payload)])
     assert router.view.members == ("n1",)
-    assert router.rejected <= len(payloads)
+    assert router.malformed_payloads <= len(payloads)
 
 
 def test_the_longest_payload_of_each_kind_fits_a_packet() -> None:
--- a/tests/test_peers_duties.py
+++ b/tests/test_peers_duties.py
@@ -116,7 +116,7 @@
 
     with_receiver(b"what\n", test)
     first = json.loads(capsys.readouterr().out.splitlines()[0])
-    reason = "not an answer: b'what\\n'"
+    reason = "invalid answer: b'what\\n'"
     assert first == {"event": "peers.duty.failed", "duty": "nightly", "reason": reason}
 
 
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -13,15 +13,15 @@
 from hypothesis import strategies as st
 
 from grebeproxy.replica import (
-    Changed,
     Delta,
     Digest,
     Entry,
     Incarnation,
     KeyChange,
     Limits,
-    Members,
     MessageReceived,
+    OriginChanged,
+    ReachableMembers,
     Record,
     Send,
     Store,
@@ -89,7 +89,7 @@
                 continue
             versions = {origin: record.version for origin, record in store.records.items()}
             reachable = tuple(f"n{o}" for o in self.stores if o != m and self.side[o] == self.side[m])
-            for effect in store.step(self.now, [Members(reachable), event]):
+            for effect in store.step(self.now, [ReachableMembers(reachable), event]):
                 if isinstance(effect, Send):
                     self.sent += 1
                     self.forward(m, int(effect.to[1:]), effect.message)
@@ -99,7 +99,9 @@
                 if origin in store.records
             )
             if isinstance(event, Woken):
-                heappush(self.queue, (max(store.next_at, self.now + 1e-3), next(self.numbers), m, Woken()))
+                heappush(
+                    self.queue, (max(store.next_wake_at, self.now + 1e-3), next(self.numbers), m, Woken())
+                )
         self.now = until
 
     def forward(self, a: int, b: int, message: Digest | Delta) -> None:
@@ -173,10 +175,10 @@
 def test_a_delta_as_old_as_the_ttl_is_rejected() -> None:
     store = Store("n0", LIMITS, Random(1), 0.0)
     old = Delta("n1", INCARNATION, 0, 3, LIMITS.ttl, (KeyChange("k", 3, b"v"),))
-    assert not [e for e in store.step(1.0, [MessageReceived("n2", old)]) if isinstance(e, Changed)]
+    assert not [e for e in store.step(1.0, [MessageReceived("n2", old)]) if isinstance(e, OriginChanged)]
     store.step(1.0, [MessageReceived("n2", replace(old, age=LIMITS.ttl - 1.0))])
     assert store.get("n1", "k") == b"v"
-    assert store.step(2.5, [Woken()]) == [Changed("n1")] and store.get("n1", "k") is None
+    assert store.step(2.5, [Woken()]) == [OriginChanged("n1")] and store.get("n1", "k") is None
 
 
 def test_a_delta_with_a_gap_before_it_is_rejected() -> None:
