--- a/tests/test_change_log_delays.py
+++ b/tests/test_change_log_delays.py
@@ -1,4 +1,4 @@
-"""How soon a change of the engine list is obeyed, from when it was written, whatever the connection does."""
+"""How soon a written change of the engine list takes effect, whatever happens to the connection."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from grebeproxy.net.router import Router
 from grebeproxy.policy import interface as api
 
-# Seconds, of the example's settings, after a change was written in which new requests may still be sent.
+# Seconds after a drain was written in which new requests may still be sent. The value is that of the
+# example's settings.
 DRAIN_GRACE = 2.0
 ADDRESS = {"s-00000001": ("127.0.0.1", 9001)}
 
 
 class FollowedChangeLog:
-    """A router, and a change log that responds to each dial with all events after ``latency`` seconds."""
+    """A router and its change log, which answers a dial with all newer events after ``latency`` seconds."""
 
     def __init__(self, latency: float) -> None:
         known = [
@@ -29,8 +30,8 @@
             )
         ]
         self.now, self.latency, self.number, self.runs = 0.0, latency, 0, 0
-        self.log: list[ChangeLogUpdate] = []
-        # Events on their way to the router, with their time of arrival.
+        self.log: list[ChangeLogUpdate] = []  # the events of the change log
+        # Events that are on their way to the router, with their times of arrival.
         self.in_transit: list[tuple[float, list[ChangeLogUpdate]]] = []
         self.broken_until, self.dials = 0.0, 0
         self.hanging_dials = 0  # how many of the next dials never connect
@@ -57,7 +58,7 @@
                     self.runs += sum(isinstance(command, Run) for command in commands)
 
     def run(self, until: float, *, frames: bool) -> None:
-        """Let time pass, with a query each 20 ms, and a frame each second if ``frames``."""
+        """Let time pass, with a query every 20 ms, and with a keep-alive frame every second if ``frames``."""
         while self.now < until:
             self.now += 0.01
             reported: list[events.Event] = [events.Woken()]
@@ -80,12 +81,12 @@
             self.carry_out(self.router.step(self.now, reported))
 
     def drain_engine(self) -> None:
-        """The log records that the engine is draining; the connection may or may not deliver it."""
+        """Write to the change log that the engine is draining. The connection may or may not deliver it."""
         draining = api.Engine("s-00000001", "typ-a", "room-1", state=api.EngineState.DRAINING)
         self.log.append(ChangeLogUpdate(2, api.EngineList(api.ListKind.CHANGES, (draining,), 2), ADDRESS))
 
     def obeys_drain(self) -> bool:
-        """Whether nothing new is sent to the engine once the grace period is over."""
+        """Whether no new request is sent to the engine once the grace period is over."""
         self.run(self.now + DRAIN_GRACE - 0.02, frames=False)
         self.runs = 0
         self.run(self.now + 1.0, frames=False)
@@ -94,81 +95,83 @@
 
 @pytest.mark.parametrize("phase", [0.0, 0.25, 0.5, 0.75, 0.99])
 def test_a_connection_that_falls_silent_just_before_a_change_times_out_early_enough(phase: float) -> None:
-    scene = FollowedChangeLog(latency=0.05)
-    scene.run(3.0 + phase, frames=True)
-    assert scene.runs
-    scene.drain_engine()  # the connection stays open and delivers nothing more
-    assert scene.obeys_drain()
+    followed = FollowedChangeLog(latency=0.05)
+    followed.run(3.0 + phase, frames=True)
+    assert followed.runs
+    followed.drain_engine()  # the connection stays open and delivers nothing more
+    assert followed.obeys_drain()
 
 
 @pytest.mark.parametrize("phase", [0.0, 0.5, 0.99])
 def test_a_dial_that_hangs_times_out_early_enough_for_another(phase: float) -> None:
-    scene = FollowedChangeLog(latency=0.05)
-    scene.run(3.0 + phase, frames=True)
-    scene.drain_engine()
-    scene.hanging_dials = 1  # the first dial after the silence
-    assert scene.obeys_drain()
+    followed = FollowedChangeLog(latency=0.05)
+    followed.run(3.0 + phase, frames=True)
+    followed.drain_engine()
+    followed.hanging_dials = 1  # the first dial after the silence
+    assert followed.obeys_drain()
 
 
 def test_the_connect_timeout_doubles_while_connections_hang() -> None:
-    scene = FollowedChangeLog(latency=0.05)
-    scene.run(2.0, frames=True)
+    followed = FollowedChangeLog(latency=0.05)
+    followed.run(2.0, frames=True)
     dials: list[float] = []
-    scene.hanging_dials = 5
-    scene.carry_out(scene.router.step(scene.now, [events.ChangeLogClosed("reset", scene.dials)]))
+    followed.hanging_dials = 5
+    followed.carry_out(followed.router.step(followed.now, [events.ChangeLogClosed("reset", followed.dials)]))
     for _ in range(800):
-        before = scene.dials
-        scene.run(scene.now + 0.01, frames=False)
-        dials += [scene.now] * (scene.dials > before)
+        before = followed.dials
+        followed.run(followed.now + 0.01, frames=False)
+        dials += [followed.now] * (followed.dials > before)
     timeouts = [round(later - dialled, 1) for dialled, later in pairwise(dials[:5])]
     assert timeouts == [0.4, 0.8, 1.6, 1.6]
 
 
 def test_late_events_of_a_closed_connection_do_not_affect_the_next() -> None:
-    scene = FollowedChangeLog(latency=0.05)
-    scene.run(3.0, frames=True)
-    scene.carry_out(scene.router.step(scene.now, [events.ChangeLogClosed("reset", scene.dials)]))
-    scene.run(3.2, frames=True)
-    before = scene.dials
+    followed = FollowedChangeLog(latency=0.05)
+    followed.run(3.0, frames=True)
+    followed.carry_out(followed.router.step(followed.now, [events.ChangeLogClosed("reset", followed.dials)]))
+    followed.run(3.2, frames=True)
+    before = followed.dials
     assert before == 2
     late: list[events.Event] = [events.ChangeLogOpened(1), events.ChangeLogClosed("reset", 1)]
-    scene.carry_out(scene.router.step(scene.now, late))
-    scene.run(4.0, frames=True)
-    assert scene.dials == before
+    followed.carry_out(followed.router.step(followed.now, late))
+    followed.run(4.0, frames=True)
+    assert followed.dials == before
 
 
 @pytest.mark.parametrize("broken", [0.0, 0.3, 0.8, 1.4])
 def test_a_broken_connection_is_dialled_again_until_it_delivers(broken: float) -> None:
-    scene = FollowedChangeLog(latency=0.05)
-    scene.run(3.0, frames=True)
-    scene.drain_engine()
-    written, scene.broken_until = scene.now, scene.now + broken  # connections are refused at first
-    scene.carry_out(scene.router.step(scene.now, [events.ChangeLogClosed("reset", scene.dials)]))
-    while scene.now < written + DRAIN_GRACE - 0.02:
-        scene.run(scene.now + 0.03, frames=False)
-        if scene.now < scene.broken_until:
-            scene.carry_out(scene.router.step(scene.now, [events.ChangeLogClosed("refused", scene.dials)]))
-    scene.runs = 0
-    scene.run(scene.now + 1.0, frames=False)
-    assert not scene.runs
+    followed = FollowedChangeLog(latency=0.05)
+    followed.run(3.0, frames=True)
+    followed.drain_engine()
+    written, followed.broken_until = followed.now, followed.now + broken  # connections are refused at first
+    followed.carry_out(followed.router.step(followed.now, [events.ChangeLogClosed("reset", followed.dials)]))
+    while followed.now < written + DRAIN_GRACE - 0.02:
+        followed.run(followed.now + 0.03, frames=False)
+        if followed.now < followed.broken_until:
+            followed.carry_out(
+                followed.router.step(followed.now, [events.ChangeLogClosed("refused", followed.dials)])
+            )
+    followed.runs = 0
+    followed.run(followed.now + 1.0, frames=False)
+    assert not followed.runs
 
 
 def test_a_start_accepts_no_clients_before_it_received_what_was_written_meanwhile() -> None:
-    scene = FollowedChangeLog(latency=follower.FIRST_EVENT_TIMEOUT / 2)
-    scene.drain_engine()  # after the configuration was made, before the router asked
-    scene.in_transit = [(at, [ChangeLogUpdate(1), *scene.log]) for at, _ in scene.in_transit]
-    listening = [scene.router.step(0.01, [])]
+    followed = FollowedChangeLog(latency=follower.FIRST_EVENT_TIMEOUT / 2)
+    followed.drain_engine()  # written after the configuration was made and before the router subscribes
+    followed.in_transit = [(at, [ChangeLogUpdate(1), *followed.log]) for at, _ in followed.in_transit]
+    listening = [followed.router.step(0.01, [])]
     for step in range(2, 20):
-        scene.now = step / 100
-        heard = [
+        followed.now = step / 100
+        received = [
             events.ChangeLogReceived(update)
-            for at, newer in scene.in_transit
-            if at <= scene.now
+            for at, newer in followed.in_transit
+            if at <= followed.now
             for update in newer
         ]
-        scene.in_transit = [answer for answer in scene.in_transit if answer[0] > scene.now]
-        listening.append(scene.router.step(scene.now, heard))
+        followed.in_transit = [answer for answer in followed.in_transit if answer[0] > followed.now]
+        listening.append(followed.router.step(followed.now, received))
         if events.StartListening() in listening[-1]:
             break
-    scene.run(0.6, frames=False)
-    assert events.StartListening() in listening[-1] and not scene.runs
+    followed.run(0.6, frames=False)
+    assert events.StartListening() in listening[-1] and not followed.runs
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""How connections, requests and the program end, on real sockets, with events forced to cross."""
+"""How connections, requests and the process end, on real sockets, when events coincide."""
 
 from __future__ import annotations
 
@@ -9,391 +9,418 @@
 from collections.abc import Iterator
 
 import pytest
-from stage import Stage, answer, ask, ended, give_up, answers_in, waiting
+from stepped_router import (
+    SteppedRouter,
+    decode_answers,
+    encode_answer,
+    encode_cancellation,
+    encode_request,
+    read_available,
+    reached_end,
+)
 
-PAGE = b"".join(b"%04d\txxxxxxx\ty\n" % row for row in range(400))  # 6,000 bytes
+PAGE = b"".join(b"%04d\txxxxxxx\ty\n" % row for row in range(400))  # a page of 6,000 bytes
 
 
 @pytest.fixture
-def stage() -> Iterator[Stage]:
-    made = Stage()
-    yield made
-    made.end()
-
-
-def served(stage: Stage, client: socket.socket, number: int = 1) -> socket.socket:
-    """Serve a client's request. Returns the connection to the engine that ran it."""
-    client.sendall(ask(number))
-    engine = stage.engine()
-    stage.run()
-    engine.sendall(answer(number))
-    stage.run()
-    assert answers_in(waiting(client))[0][1:3] == [number, None]
-    waiting(engine)
+def router() -> Iterator[SteppedRouter]:
+    router = SteppedRouter()
+    yield router
+    router.close()
+
+
+def serve_request(router: SteppedRouter, client: socket.socket, number: int = 1) -> socket.socket:
+    """Serve a client's request, and return the connection to the engine that ran it."""
+    client.sendall(encode_request(number))
+    engine = router.accept_engine_connection()
+    router.run()
+    engine.sendall(encode_answer(number))
+    router.run()
+    assert decode_answers(read_available(client))[0][1:3] == [number, None]
+    read_available(engine)
     return engine
 
 
-def long_answer(number: int) -> bytes:
-    """A result of eight pages."""
-    rest = b"".join(answer(number, PAGE, "batch", f"pos={page}") for page in range(1, 8))
-    return answer(number, PAGE, fields="count=8") + rest
+def encode_long_answer(number: int) -> bytes:
+    """Encode a result of eight pages."""
+    rest = b"".join(encode_answer(number, PAGE, "batch", f"pos={page}") for page in range(1, 8))
+    return encode_answer(number, PAGE, fields="count=8") + rest
 
 
 # --- clients that disconnect
 
 
-def test_the_request_of_a_client_that_left_while_its_connection_opened_is_not_forwarded(stage: Stage) -> None:
-    client = stage.client()
-    client.sendall(ask(1))
-    let_dial = stage.dialling()
+def test_the_request_of_a_client_that_left_while_its_connection_opened_is_not_forwarded(
+    router: SteppedRouter,
+) -> None:
+    client = router.connect_client()
+    client.sendall(encode_request(1))
+    release_dial = router.hold_next_dial()
     client.close()
-    let_dial()
-    engine = stage.engine()
-    stage.run(0.2)
-    assert b"REQ" not in waiting(engine)
+    release_dial()
+    engine = router.accept_engine_connection()
+    router.run(0.2)
+    assert b"REQ" not in read_available(engine)
 
 
-def test_a_request_cancelled_while_its_connection_opened_is_not_forwarded(stage: Stage) -> None:
-    client = stage.client()
-    client.sendall(ask(1))
-    let_dial = stage.dialling()
-    client.sendall(give_up(1))
-    let_dial()
-    engine = stage.engine()
-    stage.run(0.2)
-    assert b"REQ" not in waiting(engine)
+def test_a_request_cancelled_while_its_connection_opened_is_not_forwarded(router: SteppedRouter) -> None:
+    client = router.connect_client()
+    client.sendall(encode_request(1))
+    release_dial = router.hold_next_dial()
+    client.sendall(encode_cancellation(1))
+    release_dial()
+    engine = router.accept_engine_connection()
+    router.run(0.2)
+    assert b"REQ" not in read_available(engine)
 
 
 @pytest.fixture
-def one_engine() -> Iterator[Stage]:
-    made = Stage(**{"known.results.0.fleet.endpoints.1.status": "Terminating"})
-    yield made
-    made.end()
-
-
-def client_that_does_not_read(stage: Stage) -> tuple[socket.socket, socket.socket]:
-    """A client that reads none of its answers, some 400 KB, and has one more request open."""
-    client = stage.client(unread=2048)
-    client.sendall(b"".join(map(ask, range(1, 11))))
-    engine = stage.engine()
-    stage.run()
-    stage.narrow()
-    assert waiting(engine).count(b"REQ") == 10
+def router_with_one_engine() -> Iterator[SteppedRouter]:
+    router = SteppedRouter(**{"known.results.0.fleet.endpoints.1.status": "Terminating"})
+    yield router
+    router.close()
+
+
+def connect_client_that_does_not_read(router: SteppedRouter) -> tuple[socket.socket, socket.socket]:
+    """Connect a client that reads none of its answers, some 400 KB, and has one more request open.
+
+    Returns the client's connection and the connection to the engine.
+    """
+    client = router.connect_client(receive_buffer=2048)
+    client.sendall(b"".join(map(encode_request, range(1, 11))))
+    engine = router.accept_engine_connection()
+    router.run()
+    router.shrink_client_send_buffers()
+    assert read_available(engine).count(b"REQ") == 10
     for number in range(1, 10):
-        engine.sendall(long_answer(number))
-        stage.run(0.01)
-    assert stage.runtime.clients.unsent_bytes() > 64 * 1024
+        engine.sendall(encode_long_answer(number))
+        router.run(0.01)
+    assert router.runtime.clients.unsent_bytes() > 64 * 1024
     return client, engine
 
 
-def test_a_cancellation_of_a_client_that_does_not_read_is_received(one_engine: Stage) -> None:
-    stage = one_engine
-    client, engine = client_that_does_not_read(stage)
-    client.sendall(give_up(10))
-    stage.run(0.05)
-    assert b"STOP\r\n$16\r\n000000000000000a" in waiting(engine)
+def test_a_cancellation_of_a_client_that_does_not_read_is_received(
+    router_with_one_engine: SteppedRouter,
+) -> None:
+    router = router_with_one_engine
+    client, engine = connect_client_that_does_not_read(router)
+    client.sendall(encode_cancellation(10))
+    router.run(0.05)
+    assert b"STOP\r\n$16\r\n000000000000000a" in read_available(engine)
 
 
 @pytest.mark.parametrize("end", ["shutdown", "close"])
-def test_the_disconnect_of_a_client_that_does_not_read_is_noticed(one_engine: Stage, end: str) -> None:
-    stage = one_engine
-    client, engine = client_that_does_not_read(stage)
+def test_the_disconnect_of_a_client_that_does_not_read_is_noticed(
+    router_with_one_engine: SteppedRouter, end: str
+) -> None:
+    router = router_with_one_engine
+    client, engine = connect_client_that_does_not_read(router)
     if end == "close":
         client.close()
     else:
         client.shutdown(socket.SHUT_WR)
-    stage.run(0.05)
-    assert b"STOP\r\n$16\r\n000000000000000a" in waiting(engine)
+    router.run(0.05)
+    assert b"STOP\r\n$16\r\n000000000000000a" in read_available(engine)
 
 
 # --- connections that the router closes
 
 
-def test_a_client_that_is_disconnected_receives_its_earlier_answers(stage: Stage) -> None:
-    client = stage.client(unread=2048)
-    client.sendall(ask(1))
-    engine = stage.engine()
-    stage.run()
-    engine.sendall(long_answer(1))
-    stage.run()
-    client.sendall(b"\xc1" + b"x" * 1000)  # malformed, and more that is not read
-    stage.run()
+def test_a_client_that_is_disconnected_receives_its_earlier_answers(router: SteppedRouter) -> None:
+    client = router.connect_client(receive_buffer=2048)
+    client.sendall(encode_request(1))
+    engine = router.accept_engine_connection()
+    router.run()
+    engine.sendall(encode_long_answer(1))
+    router.run()
+    client.sendall(b"\xc1" + b"x" * 1000)  # a malformed message, and bytes behind it that are not read
+    router.run()
     client.sendall(b"x" * 1000)
     data = b""
     for _ in range(40):
-        data += waiting(client)
-        stage.run(0.01)
-    assert answers_in(data)[0][1:3] == [1, None] and len(data) > 48_000
-    assert ended(client)
+        data += read_available(client)
+        router.run(0.01)
+    assert decode_answers(data)[0][1:3] == [1, None] and len(data) > 48_000
+    assert reached_end(client)
 
 
-def test_a_disconnected_client_that_keeps_sending_or_never_closes_is_aborted(stage: Stage) -> None:
-    sending, staying = stage.client(), stage.client()
-    for client in (sending, staying):
+def test_a_disconnected_client_that_keeps_sending_or_never_closes_is_aborted(router: SteppedRouter) -> None:
+    sending, idle = router.connect_client(), router.connect_client()
+    for client in (sending, idle):
         client.sendall(b"\xc1")
-    stage.run(0.02)
-    assert stage.runtime.closing and not stage.runtime.clients
+    router.run(0.02)
+    assert router.runtime.closing and not router.runtime.clients
     with pytest.raises(ConnectionError):
         for _ in range(200):
             sending.sendall(b"x" * 65536)
-            stage.run(0.005)
-    assert len(stage.runtime.closing) == 1
-    stage.run(0.6)
-    assert not stage.runtime.closing
+            router.run(0.005)
+    assert len(router.runtime.closing) == 1
+    router.run(0.6)
+    assert not router.runtime.closing
 
 
-def test_the_number_of_closing_connections_is_bounded(stage: Stage) -> None:
+def test_the_number_of_closing_connections_is_bounded(router: SteppedRouter) -> None:
     for _ in range(60):
-        stage.client().sendall(b"\xc1")
-    stage.run(0.1)
-    assert len(stage.runtime.closing) == 16 and not stage.runtime.clients
+        router.connect_client().sendall(b"\xc1")
+    router.run(0.1)
+    assert len(router.runtime.closing) == 16 and not router.runtime.clients
 
 
 def test_an_operator_that_sends_more_than_a_call_receives_its_answer() -> None:
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        admin = free.getsockname()
-    stage = Stage(admin="{}:{}".format(*admin))
+    with socket.socket() as placeholder:
+        placeholder.bind(("127.0.0.1", 0))
+        admin = placeholder.getsockname()
+    router = SteppedRouter(admin="{}:{}".format(*admin))
     operator = socket.create_connection(admin)
     operator.sendall(b"status\n" + b"x" * 3000)
-    stage.run()
+    router.run()
     operator.sendall(b"more\n")
-    stage.run()
+    router.run()
     operator.setblocking(False)
-    assert waiting(operator).startswith(b"ACK") and ended(operator)
+    assert read_available(operator).startswith(b"ACK") and reached_end(operator)
     operator.close()
-    stage.end()
+    router.close()
 
 
-def test_no_connection_delays_small_writes(stage: Stage) -> None:
-    client = stage.client()
-    served(stage, client)
-    log = stage.runtime._change_log
+def test_no_connection_delays_small_writes(router: SteppedRouter) -> None:
+    client = router.connect_client()
+    serve_request(router, client)
+    log = router.runtime._change_log
     assert log is not None
-    for connection in (*stage.runtime.clients.values(), *stage.runtime.links.values(), log):
+    for connection in (*router.runtime.clients.values(), *router.runtime.links.values(), log):
         assert connection.transport is not None
-        own = connection.transport.get_extra_info("socket")
-        assert own.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
-
-
-# --- the end of the program
-
-
-def test_a_request_received_when_the_router_is_stopped_is_served(stage: Stage) -> None:
-    client = stage.client()
-    engine = served(stage, client)
-    client.sendall(ask(2))  # on an idle connection, and not read yet
-    stage.terminate()
-    stage.run()
-    assert b"REQ" in waiting(engine)
-    engine.sendall(answer(2))
-    stage.run()
-    assert answers_in(waiting(client))[0][1:3] == [2, None] and ended(client)
-
-
-def test_a_request_that_follows_an_answer_is_served_before_a_stopping_router_closes(stage: Stage) -> None:
-    client = stage.client()
-    engine = served(stage, client)
-    client.sendall(ask(2))
-    stage.run()
-    stage.terminate()
-    stage.run()
-    engine.sendall(answer(2))
-    client.sendall(ask(3))  # both arrive in one turn: after the answer no request is open
-    stage.run()
-    assert waiting(engine).count(b"REQ") == 2
-    engine.sendall(answer(3))
-    stage.run()
-    assert [message[1] for message in answers_in(waiting(client))] == [2, 3] and ended(client)
-
-
-def test_a_request_received_after_the_half_close_is_not_forwarded(stage: Stage) -> None:
-    client = stage.client()
-    engine = served(stage, client)
-    stage.terminate()
-    stage.run()
-    client.sendall(ask(2))
-    stage.run()
-    assert b"REQ" not in waiting(engine) and ended(client)  # no reset: its client may retry elsewhere
-
-
-def test_the_last_answer_is_complete_though_bytes_arrive_after_the_half_close(stage: Stage) -> None:
-    client = stage.client(unread=2048)
-    client.sendall(ask(1, "report", limit="9000"))
-    engine = stage.engine()
-    stage.run()
-    stage.terminate()
-    stage.run(0.8)  # it exits after this answer
-    stage.narrow()
-    engine.sendall(long_answer(1))
-    stage.run(0.01)
-    data, crossing = b"", iter(ask(2)[:-1])
-    while not stage.serving.done():
+        connection_socket = connection.transport.get_extra_info("socket")
+        assert connection_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+
+
+# --- the end of the process
+
+
+def test_a_request_received_when_the_router_is_stopped_is_served(router: SteppedRouter) -> None:
+    client = router.connect_client()
+    engine = serve_request(router, client)
+    client.sendall(encode_request(2))  # arrives on an idle connection and is not read yet
+    router.terminate()
+    router.run()
+    assert b"REQ" in read_available(engine)
+    engine.sendall(encode_answer(2))
+    router.run()
+    assert decode_answers(read_available(client))[0][1:3] == [2, None] and reached_end(client)
+
+
+def test_a_request_that_follows_an_answer_is_served_before_a_stopping_router_closes(
+    router: SteppedRouter,
+) -> None:
+    client = router.connect_client()
+    engine = serve_request(router, client)
+    client.sendall(encode_request(2))
+    router.run()
+    router.terminate()
+    router.run()
+    engine.sendall(encode_answer(2))
+    client.sendall(encode_request(3))  # arrives in one turn with the answer, after which no request is open
+    router.run()
+    assert read_available(engine).count(b"REQ") == 2
+    engine.sendall(encode_answer(3))
+    router.run()
+    assert [message[1] for message in decode_answers(read_available(client))] == [2, 3] and reached_end(
+        client
+    )
+
+
+def test_a_request_received_after_the_half_close_is_not_forwarded(router: SteppedRouter) -> None:
+    client = router.connect_client()
+    engine = serve_request(router, client)
+    router.terminate()
+    router.run()
+    client.sendall(encode_request(2))
+    router.run()
+    assert b"REQ" not in read_available(engine) and reached_end(
+        client
+    )  # no reset, so the client may retry elsewhere
+
+
+def test_the_last_answer_is_complete_though_bytes_arrive_after_the_half_close(router: SteppedRouter) -> None:
+    client = router.connect_client(receive_buffer=2048)
+    client.sendall(encode_request(1, "report", limit="9000"))
+    engine = router.accept_engine_connection()
+    router.run()
+    router.terminate()
+    router.run(0.8)  # the process exits after this answer
+    router.shrink_client_send_buffers()
+    engine.sendall(encode_long_answer(1))
+    router.run(0.01)
+    data, crossing = b"", iter(encode_request(2)[:-1])
+    while not router.serve_task.done():
         client.sendall(bytes([next(crossing)]))
-        stage.run(0.01)
-        data += waiting(client)
-    data += waiting(client)
-    assert answers_in(data)[0][1:3] == [1, None] and len(data) > 48_000
-
-
-def exiting_with_unread_answer(stage: Stage) -> socket.socket:
-    """The program exits while its client has read nothing yet of an answer of 48 KB."""
-    client = stage.client(unread=2048)
-    client.sendall(ask(1, "report", limit="9000"))
-    engine = stage.engine()
-    stage.run()
-    stage.terminate()
-    stage.run(0.8)  # it exits after this answer
-    stage.narrow()
-    engine.sendall(long_answer(1))
-    stage.run(0.05)
-    assert stage.runtime._done.is_set() and not stage.serving.done()
+        router.run(0.01)
+        data += read_available(client)
+    data += read_available(client)
+    assert decode_answers(data)[0][1:3] == [1, None] and len(data) > 48_000
+
+
+def exit_with_unread_answer(router: SteppedRouter) -> socket.socket:
+    """Let the process exit while its client has read nothing yet of an answer of 48 KB."""
+    client = router.connect_client(receive_buffer=2048)
+    client.sendall(encode_request(1, "report", limit="9000"))
+    engine = router.accept_engine_connection()
+    router.run()
+    router.terminate()
+    router.run(0.8)  # the process exits after this answer
+    router.shrink_client_send_buffers()
+    engine.sendall(encode_long_answer(1))
+    router.run(0.05)
+    assert router.runtime._done.is_set() and not router.serve_task.done()
     return client
 
 
-def test_a_client_that_reads_late_gets_the_complete_last_answer_before_the_program_exits(
-    stage: Stage,
+def test_a_client_that_reads_late_gets_the_complete_last_answer_before_the_process_exits(
+    router: SteppedRouter,
 ) -> None:
-    client = exiting_with_unread_answer(stage)
-    stage.run(1.2)  # longer than any other connection may linger
+    client = exit_with_unread_answer(router)
+    router.run(1.2)  # longer than a closing connection is kept while the process is not exiting
     data = b""
-    while not stage.serving.done():
-        data += waiting(client)
-        stage.run(0.01)
-    data += waiting(client)
-    assert answers_in(data)[0][1:3] == [1, None] and len(data) > 48_000
+    while not router.serve_task.done():
+        data += read_available(client)
+        router.run(0.01)
+    data += read_available(client)
+    assert decode_answers(data)[0][1:3] == [1, None] and len(data) > 48_000
 
 
-def test_a_client_that_never_reads_delays_the_exit_by_two_seconds_at_most(stage: Stage) -> None:
-    exiting_with_unread_answer(stage)
+def test_a_client_that_never_reads_delays_the_exit_by_two_seconds_at_most(router: SteppedRouter) -> None:
+    exit_with_unread_answer(router)
     started_at = time.monotonic()
-    while not stage.serving.done():
-        stage.run(0.01)
+    while not router.serve_task.done():
+        router.run(0.01)
     assert 1.5 < time.monotonic() - started_at < 2.5
 
 
-def test_a_client_that_has_read_all_and_stays_connected_does_not_delay_the_exit(stage: Stage) -> None:
-    client = exiting_with_unread_answer(stage)
+def test_a_client_that_has_read_all_and_stays_connected_does_not_delay_the_exit(
+    router: SteppedRouter,
+) -> None:
+    client = exit_with_unread_answer(router)
     started_at = time.monotonic()
-    while not stage.serving.done():
-        waiting(client)
-        stage.run(0.01)
+    while not router.serve_task.done():
+        read_available(client)
+        router.run(0.01)
     assert time.monotonic() - started_at < 1.0
 
 
 # --- a process that was suspended
 
 
-def test_a_router_that_was_suspended_reads_the_engine_list_before_it_forwards(stage: Stage) -> None:
-    client = stage.client()
-    stage.run()
-    client.sendall(ask(1))  # arrives first, and is read first
+def test_a_router_that_was_suspended_reads_the_engine_list_before_it_forwards(router: SteppedRouter) -> None:
+    client = router.connect_client()
+    router.run()
+    client.sendall(encode_request(1))  # arrives before the engine list and is read before it
     time.sleep(0.01)
-    stage.frame(2, stage.record(0, 1), stage.record(1, 1))
-    stage.run(0.3)
-    assert not stage.runtime.links
-    stage.frame(3, stage.record(1, 0))
-    engine = stage.engine(1)
-    stage.run()
-    assert b"REQ" in waiting(engine)
-
-
-def test_a_connection_that_opened_while_the_router_was_suspended_is_used(stage: Stage) -> None:
-    client = stage.client()
-    client.sendall(ask(1))
-    let_dial = stage.dialling()
-    let_dial()
-    stage.loop.call_soon(time.sleep, 0.3)  # its connect timeout has passed, and it is open
-    engine = stage.engine()
-    stage.run()
-    assert b"REQ" in waiting(engine)
-
-
-def test_a_client_that_left_while_the_router_was_suspended_causes_no_retry(stage: Stage) -> None:
-    client = stage.client()
-    client.sendall(ask(1))
-    engine = stage.engine()
-    stage.run()
-    waiting(engine)
-    engine.sendall(answer(1, b"", "error", "-"))  # would be retried
+    router.send_change_log_frame(2, router.change_log_record(0, 1), router.change_log_record(1, 1))
+    router.run(0.3)
+    assert not router.runtime.links
+    router.send_change_log_frame(3, router.change_log_record(1, 0))
+    engine = router.accept_engine_connection(1)
+    router.run()
+    assert b"REQ" in read_available(engine)
+
+
+def test_a_connection_that_opened_while_the_router_was_suspended_is_used(router: SteppedRouter) -> None:
+    client = router.connect_client()
+    client.sendall(encode_request(1))
+    release_dial = router.hold_next_dial()
+    release_dial()
+    router.loop.call_soon(time.sleep, 0.3)  # the connection opens during the pause, which exceeds its timeout
+    engine = router.accept_engine_connection()
+    router.run()
+    assert b"REQ" in read_available(engine)
+
+
+def test_a_client_that_left_while_the_router_was_suspended_causes_no_retry(router: SteppedRouter) -> None:
+    client = router.connect_client()
+    client.sendall(encode_request(1))
+    engine = router.accept_engine_connection()
+    router.run()
+    read_available(engine)
+    engine.sendall(encode_answer(1, b"", "error", "-"))  # the router would retry after this error
     time.sleep(0.01)
     client.close()
-    stage.run(0.3)
-    assert b"REQ" not in waiting(engine)
+    router.run(0.3)
+    assert b"REQ" not in read_available(engine)
     with pytest.raises(BlockingIOError):
-        stage.engines[1].accept()
+        router.engine_listeners[1].accept()
 
 
-def test_a_connection_with_a_request_as_its_idle_timeout_ends_is_not_closed(stage: Stage) -> None:
-    client = stage.client()
-    stage.run(1.5)  # its first request is due within 2 s
+def test_a_connection_with_a_request_as_its_idle_timeout_ends_is_not_closed(router: SteppedRouter) -> None:
+    client = router.connect_client()
+    router.run(1.5)  # the client has to send its first request within 2 s
     time.sleep(0.8)
-    client.sendall(ask(1))  # and is sent just in time
-    engine = stage.engine()
-    stage.run()
-    engine.sendall(answer(1))
-    stage.run()
-    assert answers_in(waiting(client))[0][1:3] == [1, None]
+    client.sendall(encode_request(1))  # the request is sent just in time
+    engine = router.accept_engine_connection()
+    router.run()
+    engine.sendall(encode_answer(1))
+    router.run()
+    assert decode_answers(read_available(client))[0][1:3] == [1, None]
 
 
 # --- descriptors
 
 
 def test_idle_clients_may_reach_the_connection_limit_while_the_change_log_is_down() -> None:
-    stage = Stage(**{"limits.sockets": 150})  # 52 of clients, 50 to engines
-    idle_clients = [stage.client() for _ in range(90)]
-    stage.run(0.3)
-    assert len(stage.runtime.clients) == stage.runtime.bounds.clients == 52
-    stage.watch.close()
-    stage.log.close()  # connections are refused from now on
-    stage.run(0.3)
-    newcomer = stage.client()  # an idle connection without a request is closed for it
-    newcomer.sendall(ask(1))
-    engine = stage.engine()
-    stage.run()
-    engine.sendall(answer(1))
-    stage.run()
-    assert answers_in(waiting(newcomer))[0][1:3] == [1, None]
-    assert not any(node.fault_rate or node.ejected_at is not None for node in stage.nodes())
-    dials = stage.runtime._router._change_log.dials
-    stage.run(1.0)
-    assert stage.runtime._router._change_log.dials > dials  # the log is dialled all the same
-    assert all(ended(client) for client in idle_clients[:30])  # in order, and the oldest first
-    stage.end()
+    router = SteppedRouter(
+        **{"limits.sockets": 150}
+    )  # the limit allows 52 connections of clients and 50 to engines
+    idle_clients = [router.connect_client() for _ in range(90)]
+    router.run(0.3)
+    assert len(router.runtime.clients) == router.runtime.bounds.clients == 52
+    router.change_log_connection.close()
+    router.change_log_listener.close()  # connections to the change log are refused from now on
+    router.run(0.3)
+    newcomer = router.connect_client()  # the router closes an idle connection to accept this one
+    newcomer.sendall(encode_request(1))
+    engine = router.accept_engine_connection()
+    router.run()
+    engine.sendall(encode_answer(1))
+    router.run()
+    assert decode_answers(read_available(newcomer))[0][1:3] == [1, None]
+    assert not any(engine.fault_rate or engine.ejected_at is not None for engine in router.engine_records())
+    dials = router.runtime._router._change_log.dials
+    router.run(1.0)
+    assert router.runtime._router._change_log.dials > dials  # the change log is dialled nevertheless
+    assert all(reached_end(client) for client in idle_clients[:30])  # closed gracefully, the oldest first
+    router.close()
 
 
 def test_queued_connections_are_accepted_before_a_full_router_stops_listening() -> None:
-    stage = Stage(**{"limits.sockets": 150})
-    idle_clients = [stage.client() for _ in range(52)]
-    stage.run(0.3)
-    late = [stage.client() for _ in range(40)]  # in the kernel's queue
+    router = SteppedRouter(**{"limits.sockets": 150})
+    idle_clients = [router.connect_client() for _ in range(52)]
+    router.run(0.3)
+    late = [router.connect_client() for _ in range(40)]  # connections in the kernel's queue
     for number, client in enumerate(late, 1):
-        client.sendall(ask(number))
+        client.sendall(encode_request(number))
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (len(os.listdir("/proc/self/fd")) + 12, hard))
     try:
-        stage.loop.call_soon(stage.runtime.stop_listening)
-        stage.run(0.45)
+        router.loop.call_soon(router.runtime.stop_listening)
+        router.run(0.45)
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    requesting = [client for client in stage.runtime._router._clients.values() if client.has_requested]
-    assert len(requesting) == 40 and sum(map(ended, idle_clients)) >= 40
+    requesting = [client for client in router.runtime._router._clients.values() if client.has_requested]
+    assert len(requesting) == 40 and sum(map(reached_end, idle_clients)) >= 40
     with pytest.raises(ConnectionRefusedError):
-        stage.client()
-    stage.end()
+        router.connect_client()
+    router.close()
 
 
-def test_a_second_sigterm_changes_nothing(stage: Stage) -> None:
-    client = stage.client()
-    client.sendall(ask(1, "report", limit="9000"))
-    engine = stage.engine()
-    stage.run()
+def test_a_second_sigterm_changes_nothing(router: SteppedRouter) -> None:
+    client = router.connect_client()
+    client.sendall(encode_request(1, "report", limit="9000"))
+    engine = router.accept_engine_connection()
+    router.run()
     for _ in range(2):
-        stage.terminate()
-        stage.run(0.4)
-    engine.sendall(answer(1))
-    stage.run()
-    assert answers_in(waiting(client))[0][1:3] == [1, None] and ended(client)
+        router.terminate()
+        router.run(0.4)
+    engine.sendall(encode_answer(1))
+    router.run()
+    assert decode_answers(read_available(client))[0][1:3] == [1, None] and reached_end(client)
     client.close()
-    stage.run(0.1)
-    assert stage.serving.done()
+    router.run(0.1)
+    assert router.serve_task.done()
--- a/tests/test_crossings.py
+++ b/tests/test_events_in_one_step.py
@@ -1,4 +1,4 @@
-"""Events that cross in one step of the router: nothing is written before all of them were processed."""
+"""Events that arrive in one step of the router: nothing is written before all of them are processed."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 CALL = messages.Call(1, "a" * 16, "lookup", 2.0, b"x", tenant="city")
 
 
-class Scripted:
-    """Replaces the decision module: sends each query to the one engine, once, and records its events."""
+class SendEachQueryOnce:
+    """A decision module that sends each query to the one engine, once, and records the events it gets."""
 
     write_by: float | None = None
 
@@ -31,8 +31,8 @@
         return [api.Send(query.id, ENGINE, query.due, self.write_by) for query in queries]
 
 
-def router_with_request(module: type[Scripted] = Scripted) -> Router:
-    """A router whose one request waits for its connection, number 1, to open."""
+def router_with_request(module: type[SendEachQueryOnce] = SendEachQueryOnce) -> Router:
+    """Return a router whose one request waits for a connection to the engine to open."""
     options = router_options([list_event(api.EngineState.UP)])
     router = Router(options, now=0.0, make_decision_module=module)
     router.start(0.0)
@@ -48,7 +48,7 @@
     return messages.ChangeLogUpdate(seq, api.EngineList(how, (entry,), seq), ADDRESS)
 
 
-def link(router: Router) -> int:
+def only_link(router: Router) -> int:
     [number] = router._links
     return number
 
@@ -65,7 +65,7 @@
 
 def test_a_connection_that_opens_carries_the_waiting_attempt() -> None:
     router = router_with_request()
-    assert len(run_commands(router.step(0.31, [events.LinkOpened(link(router))]))) == 1
+    assert len(run_commands(router.step(0.31, [events.LinkOpened(only_link(router))]))) == 1
 
 
 @pytest.mark.parametrize(
@@ -83,17 +83,17 @@
     crossing: events.Event,
 ) -> None:
     router = router_with_request()
-    assert not run_commands(router.step(0.31, [events.LinkOpened(link(router)), crossing]))
+    assert not run_commands(router.step(0.31, [events.LinkOpened(only_link(router)), crossing]))
     assert not run_commands(router.step(0.4, [events.Woken()]))
 
 
 @pytest.mark.parametrize(("up", "leaves"), [(0.34, True), (0.36, False)])
 def test_a_retry_that_waits_for_a_connection_is_not_written_past_its_window(up: float, leaves: bool) -> None:
-    class Bounded(Scripted):
+    class SendWithinWindow(SendEachQueryOnce):
         write_by = 0.35
 
-    router = router_with_request(Bounded)
-    assert bool(run_commands(router.step(up, [events.LinkOpened(link(router))]))) is leaves
+    router = router_with_request(SendWithinWindow)
+    assert bool(run_commands(router.step(up, [events.LinkOpened(only_link(router))]))) is leaves
     router.step(up + 0.02, [events.Woken()])
     received = router._decision_module.received  # type: ignore[attr-defined]
     ends = [event.outcome for event in received if isinstance(event, api.AttemptEnded)]
@@ -102,10 +102,10 @@
 
 def test_an_idle_client_is_read_once_more_before_its_connection_closes() -> None:
     router = router_with_request()
-    router.step(0.31, [events.LinkOpened(link(router))])
+    router.step(0.31, [events.LinkOpened(only_link(router))])
     router.step(0.32, [events.StopRequested()])
     served = events.LinkAnswerReceived(
-        link(router), messages.EngineAnswer(CALL.txn, messages.AnswerKind.OK, b"")
+        only_link(router), messages.EngineAnswer(CALL.txn, messages.AnswerKind.OK, b"")
     )
     assert not any(isinstance(effect, events.HalfCloseClient) for effect in router.step(0.33, [served]))
     more = replace(CALL, message_id=2, txn="b" * 16)
@@ -116,23 +116,23 @@
         0.35,
         [
             events.LinkAnswerReceived(
-                link(router), messages.EngineAnswer(more.txn, messages.AnswerKind.OK, b"")
+                only_link(router), messages.EngineAnswer(more.txn, messages.AnswerKind.OK, b"")
             )
         ],
     )
     assert events.HalfCloseClient(1) in router.step(0.36, [events.Woken()])
 
 
-def test_the_program_exits_only_after_pending_input_was_read() -> None:
+def test_the_process_exits_only_after_pending_input_was_read() -> None:
     router = router_with_request()
-    router.step(0.31, [events.LinkOpened(link(router)), events.StopRequested()])
+    router.step(0.31, [events.LinkOpened(only_link(router)), events.StopRequested()])
     for at in (0.9, 1.2):
         router.step(at, [events.Woken()])
     served = events.LinkAnswerReceived(
-        link(router), messages.EngineAnswer(CALL.txn, messages.AnswerKind.OK, b"")
+        only_link(router), messages.EngineAnswer(CALL.txn, messages.AnswerKind.OK, b"")
     )
     assert events.Exit() not in router.step(1.3, [served])
-    late = replace(CALL, message_id=1, txn="c" * 16)  # was received when the last answer was sent
+    late = replace(CALL, message_id=1, txn="c" * 16)  # arrives at the time of the last answer
     crossing: list[events.Event] = [
         events.ClientOpened(2),
         events.ClientMessageReceived(2, late),
@@ -143,7 +143,7 @@
         1.32,
         [
             events.LinkAnswerReceived(
-                link(router), messages.EngineAnswer(late.txn, messages.AnswerKind.OK, b"")
+                only_link(router), messages.EngineAnswer(late.txn, messages.AnswerKind.OK, b"")
             )
         ],
     )
--- a/tests/test_late_decisions.py
+++ b/tests/test_late_decisions.py
@@ -1,10 +1,11 @@
-"""Requests that are decided some milliseconds after they were read, as on a machine that is busy.
-
-What happened: clients whose timeout is shorter than their class's deadline had first attempts rejected at
-once. A client's retry was known by the part of its deadline that was left when it was decided, so a first
-attempt that was decided late looked like a retry whose latency objective had passed. With the process stopped
-for 20 ms of every 50 ms, 43 and 46 of 1,840 first attempts were answered TryLater, and none undisturbed. Now
-the time at which a request was read counts, and the mark alone where clients mark their retries.
+"""Requests that are decided some milliseconds after they were read, as on a busy machine.
+
+The tests guard against this failure: first attempts of clients whose timeout is shorter than the deadline of
+the query class were rejected at once. A client's retry was recognized by the part of its deadline that was
+left at the time of the decision. A first attempt that was decided late therefore looked like a retry whose
+latency objective had passed. With the process stopped for 20 ms of every 50 ms, 43 and 46 of 1,840 first
+attempts were answered TryLater, and none without the stops. The router now uses the time at which a request
+was read, and only the mark where clients mark their retries.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 import pytest
 from conftest import RouterHarness, make_settings
 from exchange import router_options
-from test_crossings import ADDRESS, ENGINE
+from test_events_in_one_step import ADDRESS, ENGINE
 
 from grebeproxy.net import events, messages
 from grebeproxy.net.router import Router, clients
 from grebeproxy.policy import interface as api
 
-CLIENT_TIMEOUT = 2.0  # seconds; shorter than the class's deadline by more than its latency objective
-LATENESS = 0.016  # seconds; beyond DEADLINE_TOLERANCE of the class's deadline
+CLIENT_TIMEOUT = 2.0  # seconds, less than the class's deadline by more than its latency objective
+LATENESS = 0.016  # seconds, more than DEADLINE_TOLERANCE of the class's deadline
 
 
 def call(number: int, **changes: Any) -> messages.Call:
@@ -31,7 +32,7 @@
 
 
 def serving_router(*, marks_retries: bool = True) -> Router:
-    """A router with one engine, and one client, whose requests had the same timeout until now."""
+    """Return a router with one engine and one client, whose earlier requests all had the same timeout."""
     engine_list = api.EngineList(api.ListKind.FULL, (api.Engine(ENGINE, "typ-a", "room-1"),), 1)
     options = router_options(
         [messages.ChangeLogUpdate(1, engine_list, ADDRESS)], {"settings.clients.marksRetry": marks_retries}
@@ -49,7 +50,7 @@
 
 
 def rejected(effects: list[events.Effect]) -> set[int]:
-    """The message ids of rejected requests."""
+    """Return the message ids of rejected requests."""
     answers = [effect.message for effect in effects if isinstance(effect, events.AnswerClient)]
     return {answer.message_id for answer in answers if isinstance(answer, messages.Rejected)}
 
@@ -60,14 +61,16 @@
 
 def test_a_first_attempt_that_is_decided_late_is_not_taken_for_a_retry() -> None:
     router = serving_router()
-    router.step(1.0, [events.ClientMessageReceived(1, call(6))])  # the next round is a tick later
+    router.step(
+        1.0, [events.ClientMessageReceived(1, call(6))]
+    )  # the decision module's next round is a tick later
     effects = router.step(1.001, [events.ClientMessageReceived(1, call(7))])
     effects += router.step(1.001 + LATENESS, [events.Woken()])
     assert 7 not in rejected(effects)
 
 
-def decided_late(router: Router, late: messages.Call) -> bool:
-    """Whether this request is rejected when it is decided some milliseconds after it was read."""
+def is_rejected_if_decided_late(router: Router, late: messages.Call) -> bool:
+    """Whether a request is rejected if it is decided some milliseconds after it was read."""
     router.step(1.0, [events.ClientMessageReceived(1, call(6))])
     effects = router.step(1.001, [events.ClientMessageReceived(1, late)])
     effects += router.step(1.001 + LATENESS, [events.Woken()])
@@ -75,19 +78,21 @@
 
 
 def test_the_time_of_reading_counts_where_clients_do_not_mark_retries() -> None:
-    assert not decided_late(serving_router(marks_retries=False), call(7))
+    assert not is_rejected_if_decided_late(serving_router(marks_retries=False), call(7))
 
 
 def test_a_marked_retry_that_is_decided_late_is_still_a_retry() -> None:
-    assert decided_late(serving_router(), call(7, is_client_retry=True))
+    assert is_rejected_if_decided_late(serving_router(), call(7, is_client_retry=True))
 
 
 def test_a_retry_that_is_not_marked_is_still_known_by_its_time() -> None:
-    assert decided_late(serving_router(marks_retries=False), call(7, timeout=CLIENT_TIMEOUT - 0.1))
+    assert is_rejected_if_decided_late(
+        serving_router(marks_retries=False), call(7, timeout=CLIENT_TIMEOUT - 0.1)
+    )
 
 
 def test_an_unmarked_attempt_is_a_first_one_where_clients_mark_retries_whatever_its_timeout() -> None:
-    assert not decided_late(serving_router(), call(7, timeout=CLIENT_TIMEOUT - 0.1))
+    assert not is_rejected_if_decided_late(serving_router(), call(7, timeout=CLIENT_TIMEOUT - 0.1))
 
 
 @pytest.mark.parametrize("lateness", [0.0, 0.1, 0.3])
@@ -111,8 +116,8 @@
     assert [harness.choice.queries[f"q{number}"].over_quota for number in (0, 18, 19)] == [False, True, True]
 
 
-def test_the_simulator_s_clients_that_mark_retries_have_first_attempts_whatever_time_is_left() -> None:
+def test_unmarked_requests_in_the_simulator_are_first_attempts_whatever_time_is_left() -> None:
     harness = RouterHarness(make_settings(clients_mark_retries=True), engines=0)
-    for left in (3.6, 3.6, 3.6, 3.4):  # the last one waited for its batch
+    for left in (3.6, 3.6, 3.6, 3.4):  # the last request had to wait for its batch
         harness.submit(wait=left, work=0.1, id=f"left {left}")
     assert harness.choice.queries["left 3.4"].arrived_at == harness.now
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,6 +1,7 @@
-"""Random sequences of what operators, discovery, engines and clients do to the router, against a model.
+"""Random sequences of actions of operators, discovery, engines and clients, checked against a model.
 
-The model checks the rules independently: it tracks clients, attempts, retry windows, keys and engines.
+The model checks the rules independently of the router: it tracks clients, attempts, retry windows, keys and
+engines.
 """
 
 from __future__ import annotations
@@ -43,24 +44,26 @@
 
 
 class RouterOperation(RuleBasedStateMachine):
-    """The model tracks open requests, attempts in flight, and engines that must get nothing."""
+    """The model, which tracks open requests, attempts in flight, and engines that must get no requests."""
 
     @initialize(settings=st.sampled_from(VARIANTS))
     def begin(self, settings: api.Settings) -> None:
         self.now, self.number, self.wake = 100.0, 0, float("inf")
         self.disabled: set[str] = set()
         self.listed = dict.fromkeys(ENGINES, api.EngineState.UP)
-        self.clients: dict[int, dict[int, str]] = {}  # open requests, by open connection
+        # Transaction ids of open requests by message id, by open connection.
+        self.clients: dict[int, dict[int, str]] = {}
         self.calls: dict[str, messages.Call] = {}
         self.links: dict[int, str] = {}
         self.connected_links: set[int] = set()
-        self.in_flight: dict[str, int] = {}  # the link, by request
-        self.last_started: dict[str, float] = {}  # of the latest attempt, by request
-        self.first_started: dict[str, list[str]] = {}  # by key, in order
-        self.accepted: dict[str, list[str]] = {}
-        self.first_attempts: dict[str, tuple[float, str]] = {}  # that may have run: when, and where
-        self.abandoned_at: dict[str, float] = {}  # requests whose clients disconnected or cancelled
-        self.query_classes: dict[str, api.QueryClass] = {}  # of each request, as it was on arrival
+        self.in_flight: dict[str, int] = {}  # connection to the engine, by request
+        self.last_started: dict[str, float] = {}  # time of the latest attempt, by request
+        self.first_started: dict[str, list[str]] = {}  # requests in the order of their first attempts, by key
+        self.accepted: dict[str, list[str]] = {}  # requests in the order of their arrival, by key
+        # Time and engine of the first attempt that may have run, by request.
+        self.first_attempts: dict[str, tuple[float, str]] = {}
+        self.abandoned_at: dict[str, float] = {}  # when clients disconnected or cancelled, by request
+        self.query_classes: dict[str, api.QueryClass] = {}  # by request, as the class was on its arrival
         self.serving = True
         self.exited = self.stopped = False
         self.admin_results: list[bool] = []
@@ -78,12 +81,12 @@
         self.router = Router(options, now=90.0)
         self.seq = 1
         self.carry_out(self.router.start(90.0))
-        self.do(events.ChangeLogReceived(messages.ChangeLogUpdate(1)))
+        self.step(events.ChangeLogReceived(messages.ChangeLogUpdate(1)))
 
     def addresses(self) -> dict[str, tuple[str, int]]:
         return {engine: ("127.0.0.1", 9000 + n) for n, engine in enumerate(ENGINES)}
 
-    def do(self, *reported: events.Event) -> None:
+    def step(self, *reported: events.Event) -> None:
         self.carry_out(self.router.step(self.now, reported))
 
     def carry_out(self, effects: list[events.Effect]) -> None:
@@ -91,17 +94,17 @@
             match effect:
                 case events.OpenLink(link, address):
                     self.links[link] = ENGINES[address[1] - 9000]
-                    assert self.is_available(self.links[link])
+                    assert self.may_get_requests(self.links[link])
                 case events.Write(link, commands):
                     for command in commands:
-                        self.written(link, command)
+                        self.check_command(link, command)
                 case events.CloseLink(link):
-                    self.lost(link)
+                    self.forget_link(link)
                 case events.AnswerClient(conn, message):
-                    self.answered(conn, message)
+                    self.check_answer(conn, message)
                 case events.CloseClient(conn) | events.HalfCloseClient(conn):
-                    # A half-closed connection whose client does not close is closed on a little later.
-                    assert not self.clients.pop(conn, {}), "closed on with a request open"
+                    # The router later closes a half-closed connection whose client does not close it.
+                    assert not self.clients.pop(conn, {}), "closed with a request open"
                 case events.AnswerAdmin(_, done):
                     self.admin_results.append(done)
                 case events.Wake(at):
@@ -112,27 +115,29 @@
                 case events.LogLine(text):
                     assert "Traceback" not in text and "router.request.overdue" not in text
 
-    def is_available(self, engine: str) -> bool:
+    def may_get_requests(self, engine: str) -> bool:
         return engine not in self.disabled and self.listed[engine] is api.EngineState.UP
 
-    def written(self, link: int, command: messages.ToEngine) -> None:
+    def check_command(self, link: int, command: messages.ToEngine) -> None:
         engine = self.links[link]
         match command:
             case messages.Run(txn):
-                assert self.is_available(engine), f"sent to {engine}"
+                assert self.may_get_requests(engine), f"sent to {engine}"
                 assert txn not in self.in_flight, "two attempts at once"
                 assert (
                     self.now <= self.abandoned_at.get(txn, self.now) + 0.1
                 ), "forwarded for a client that disconnected"
                 if txn in self.first_attempts:
-                    at, where = self.first_attempts[txn]
-                    cls = self.query_classes[txn]
+                    started_at, first_engine = self.first_attempts[txn]
+                    query_class = self.query_classes[txn]
                     assert (
-                        cls.idempotency is not api.Idempotency.NON_IDEMPOTENT
+                        query_class.idempotency is not api.Idempotency.NON_IDEMPOTENT
                     ), "a non-idempotent request is retried"
-                    if cls.idempotency is api.Idempotency.IDEMPOTENCY_KEY:
-                        assert self.now < at + cls.retry_window, "retried past its window"
-                        assert cls.scope is api.Scope.ALL or engine == where, "retried in another cell"
+                    if query_class.idempotency is api.Idempotency.IDEMPOTENCY_KEY:
+                        assert self.now < started_at + query_class.retry_window, "retried past its window"
+                        assert (
+                            query_class.scope is api.Scope.ALL or engine == first_engine
+                        ), "retried in another cell"
                 self.first_attempts.setdefault(txn, (self.now, engine))
                 key = self.calls[txn].key
                 if key is not None:
@@ -146,14 +151,14 @@
             case messages.Stop(txn) | messages.End(txn):
                 self.in_flight.pop(txn, None)
             case messages.Hello():
-                assert self.is_available(engine), f"{engine} was health checked"
+                assert self.may_get_requests(engine), f"{engine} was health checked"
 
-    def lost(self, link: int) -> None:
+    def forget_link(self, link: int) -> None:
         self.links.pop(link, None)
         self.connected_links.discard(link)
-        self.in_flight = {txn: at for txn, at in self.in_flight.items() if at != link}
+        self.in_flight = {txn: other for txn, other in self.in_flight.items() if other != link}
 
-    def answered(self, conn: int, message: messages.ToClient) -> None:
+    def check_answer(self, conn: int, message: messages.ToClient) -> None:
         if isinstance(message, messages.Pong):
             assert message.serving is (self.serving and not self.stopped)
             return
@@ -166,77 +171,77 @@
 
     @rule(step=st.sampled_from([0.006, 0.05, 0.4, 1.0, 3.0]))
     def wait(self, step: float) -> None:
-        self.time_passes(step)
+        self.advance(step)
 
-    def time_passes(self, step: float) -> None:
+    def advance(self, step: float) -> None:
         until = self.now + step
         while self.now < until:
             self.now = min(until, self.now + 1.0, max(self.now, self.wake))
             self.wake = float("inf")
-            self.do(events.Woken(), events.ChangeLogReceived(messages.ChangeLogUpdate(self.seq)))
+            self.step(events.Woken(), events.ChangeLogReceived(messages.ChangeLogUpdate(self.seq)))
 
     @rule(
         conn=st.integers(1, 3),
-        cls=st.sampled_from(["short", "load", "load", "new"]),
+        class_name=st.sampled_from(["short", "load", "load", "new"]),
         key=st.sampled_from("ab"),
-        quick=st.sampled_from([True, True, False]),
+        at_once=st.sampled_from([True, True, False]),
     )
-    def ask(self, conn: int, cls: str, key: str, quick: bool) -> None:
+    def client_sends_request(self, conn: int, class_name: str, key: str, at_once: bool) -> None:
         if self.exited:
             return
         if conn not in self.clients:
             self.clients[conn] = {}
-            self.do(events.ClientClosed(conn), events.ClientOpened(conn))
+            self.step(events.ClientClosed(conn), events.ClientOpened(conn))
         self.number += 1
         txn = f"{self.number:016x}"
-        ordering_key = key if cls == "load" else None
-        call = messages.Call(self.number, txn, cls, 2.0, b"x", token=txn, key=ordering_key, work=0.1)
+        ordering_key = key if class_name == "load" else None
+        call = messages.Call(self.number, txn, class_name, 2.0, b"x", token=txn, key=ordering_key, work=0.1)
         for known in self.settings.classes:
-            if known.name == cls:
+            if known.name == class_name:
                 self.query_classes[txn] = known
         self.clients[conn][self.number] = txn
         self.calls[txn] = call
         if ordering_key is not None:
             self.accepted.setdefault(ordering_key, []).append(txn)
-        self.do(events.ClientMessageReceived(conn, call))
-        if quick:  # forwarded at once, if an engine is available
-            self.time_passes(0.006)
-            self.all_connect()
+        self.step(events.ClientMessageReceived(conn, call))
+        if at_once:  # the request is forwarded at once if an engine is available
+            self.advance(0.006)
+            self.open_all_links()
 
-    def all_connect(self) -> None:
+    def open_all_links(self) -> None:
         for link in sorted(self.links.keys() - self.connected_links):
             self.connected_links.add(link)
-            self.do(events.LinkOpened(link))
+            self.step(events.LinkOpened(link))
 
     @rule(conn=st.integers(1, 3))
     def client_checks_health(self, conn: int) -> None:
         if conn in self.clients:
-            self.do(events.ClientMessageReceived(conn, messages.Ping(0)))
+            self.step(events.ClientMessageReceived(conn, messages.Ping(0)))
 
     @rule(data=st.data())
     def engine_connects(self, data: st.DataObject) -> None:
         if waiting := sorted(self.links.keys() - self.connected_links):
             link = data.draw(st.sampled_from(waiting))
             self.connected_links.add(link)
-            self.do(events.LinkOpened(link))
+            self.step(events.LinkOpened(link))
 
     @rule(conn=st.integers(1, 3), crossing=st.booleans(), data=st.data())
     def client_leaves(self, conn: int, crossing: bool, data: st.DataObject) -> None:
-        """It disconnects; a connection to an engine may open in the same step."""
+        """Disconnect a client. With ``crossing``, a connection to an engine opens in the same step."""
         if conn in self.clients:
             for txn in self.clients.pop(conn).values():
                 self.abandoned_at[txn] = self.now
-            self.do(*(self.next_connection(data) if crossing else []), events.ClientClosed(conn))
+            self.step(*(self.open_random_link(data) if crossing else []), events.ClientClosed(conn))
 
     @rule(conn=st.integers(1, 3), crossing=st.booleans(), data=st.data())
     def client_cancels(self, conn: int, crossing: bool, data: st.DataObject) -> None:
         if self.clients.get(conn):
             number = data.draw(st.sampled_from(sorted(self.clients[conn])))
             self.abandoned_at[self.clients[conn].pop(number)] = self.now
-            back = events.ClientMessageReceived(conn, messages.CancelRequest(number))
-            self.do(*(self.next_connection(data) if crossing else []), back)
+            cancellation = events.ClientMessageReceived(conn, messages.CancelRequest(number))
+            self.step(*(self.open_random_link(data) if crossing else []), cancellation)
 
-    def next_connection(self, data: st.DataObject) -> list[events.Event]:
+    def open_random_link(self, data: st.DataObject) -> list[events.Event]:
         if not (waiting := sorted(self.links.keys() - self.connected_links)):
             return []
         link = data.draw(st.sampled_from(waiting))
@@ -245,7 +250,7 @@
 
     @rule(
         data=st.data(),
-        word=st.sampled_from(
+        kind=st.sampled_from(
             [
                 messages.AnswerKind.OK,
                 messages.AnswerKind.OK,
@@ -255,28 +260,28 @@
                 messages.AnswerKind.STALE,
             ]
         ),
-        quick=st.sampled_from([True, True, False]),
+        at_once=st.sampled_from([True, True, False]),
     )
-    def engine_answers(self, data: st.DataObject, word: messages.AnswerKind, quick: bool) -> None:
+    def engine_answers(self, data: st.DataObject, kind: messages.AnswerKind, at_once: bool) -> None:
         if self.in_flight:
             txn = data.draw(st.sampled_from(sorted(self.in_flight)))
             link = self.in_flight.pop(txn)
             if (
-                word in (messages.AnswerKind.FULL, messages.AnswerKind.STALE)
+                kind in (messages.AnswerKind.FULL, messages.AnswerKind.STALE)
                 and self.first_attempts[txn][0] == self.last_started[txn]
             ):
-                del self.first_attempts[txn]  # the only attempt that might have run did not run
-            self.do(events.LinkAnswerReceived(link, messages.EngineAnswer(txn, word, b"row\n")))
-            if quick:  # a retry is forwarded at once
-                self.time_passes(0.006)
-                self.all_connect()
+                del self.first_attempts[txn]  # the only attempt so far did not run
+            self.step(events.LinkAnswerReceived(link, messages.EngineAnswer(txn, kind, b"row\n")))
+            if at_once:  # a retry, if there is one, is forwarded at once
+                self.advance(0.006)
+                self.open_all_links()
 
     @rule(data=st.data())
     def engine_leaves(self, data: st.DataObject) -> None:
         if self.links:
             link = data.draw(st.sampled_from(sorted(self.links)))
-            self.lost(link)
-            self.do(events.LinkClosed(link))
+            self.forget_link(link)
+            self.step(events.LinkClosed(link))
 
     @rule(
         engine=st.sampled_from([*ENGINES, "nobody"]),
@@ -288,16 +293,16 @@
         gone = engine != "nobody" and self.listed[engine] is api.EngineState.GONE
         if engine != "nobody" and not (
             disable and gone and not upgrade
-        ):  # an engine that has gone is unknown
+        ):  # the router does not know an engine that has gone
             (self.disabled.add if disable else self.disabled.discard)(engine)
         call: messages.AdminCall = (
             messages.MaintenanceOn(engine) if disable else messages.MaintenanceOff(engine)
         )
-        if upgrade and engine != "nobody":  # the call was made to the other process
+        if upgrade and engine != "nobody":  # another process of this router got the call
             number = 1 + max((number for number, _ in self.router._overrides.calls.values()), default=0)
-            self.do(events.OverridesRead({engine: (number, disable)}))
+            self.step(events.OverridesRead({engine: (number, disable)}))
         else:
-            self.do(events.AdminOpened(1), events.AdminCallReceived(1, call))
+            self.step(events.AdminOpened(1), events.AdminCallReceived(1, call))
             if engine == "nobody" or not gone:
                 assert self.admin_results == [engine != "nobody"]
 
@@ -317,7 +322,7 @@
         )
         how = api.ListKind.FULL if whole else api.ListKind.CHANGES
         addresses = {name: self.addresses()[name] for name in named}
-        self.do(
+        self.step(
             events.ChangeLogReceived(
                 messages.ChangeLogUpdate(self.seq, api.EngineList(how, entries, self.seq), addresses)
             )
@@ -326,13 +331,13 @@
     @rule(settings=st.sampled_from(VARIANTS))
     def reload(self, settings: api.Settings) -> None:
         self.settings = settings
-        self.do(events.Reloaded(("127.0.0.1", 1), settings, LIMITS))
+        self.step(events.Reloaded(("127.0.0.1", 1), settings, LIMITS))
 
     @rule(standby_on=st.sampled_from([False, False, True]))
     def standby(self, standby_on: bool) -> None:
         if not self.stopped:
             self.serving = not standby_on
-        self.do(
+        self.step(
             events.AdminOpened(2),
             events.AdminCallReceived(2, messages.Standby() if standby_on else messages.Active()),
         )
@@ -341,7 +346,7 @@
     def stop(self) -> None:
         if self.number > 12:
             self.stopped = True
-            self.do(events.StopRequested())
+            self.step(events.StopRequested())
 
     # --- invariants
 
@@ -353,7 +358,7 @@
     def teardown(self) -> None:
         if not hasattr(self, "router"):
             return
-        self.time_passes(6.0)
+        self.advance(6.0)
         assert not any(self.clients.values()), "a request with no answer"
         assert not self.stopped or self.exited
 
@@ -362,8 +367,8 @@
 TestRouterOperation.settings = hypothesis_settings(max_examples=300, stateful_step_count=60)
 
 
-class Silent:
-    """Replaces the decision module: decides nothing."""
+class DecidesNothing:
+    """A decision module that decides nothing."""
 
     def __init__(self, settings: api.Settings, now: float, seed: int) -> None:
         pass
@@ -374,7 +379,7 @@
 
 @pytest.mark.parametrize(("shared", "killed_after"), [(False, 3.7), (True, 5.7)])
 def test_a_router_that_shuts_down_answers_all_before_it_is_killed(shared: bool, killed_after: float) -> None:
-    """Deadlines are 20 s here, limited to 3 s, or to 5 s where another process takes over."""
+    """Deadlines are 20 s here, but limited to 3 s, or to 5 s if another process takes over the socket."""
     options = RouterOptions(
         BASE,
         LIMITS,
@@ -383,7 +388,7 @@
         seed=1,
         shared=shared,
     )
-    router = Router(options, now=0.0, make_decision_module=Silent)
+    router = Router(options, now=0.0, make_decision_module=DecidesNothing)
     router.start(0.0)
     load_call = messages.Call(1, "a" * 16, "load", 20.0, b"x", token="t")
     idempotent_call = replace(load_call, message_id=2, txn="c" * 16, query_class="short")
@@ -403,6 +408,6 @@
         events.AnswerClient(1, messages.Failed(1)),
         events.AnswerClient(1, messages.Rejected(2, 1.0)),
     ]
-    # The sockets are read once more, in the same turn.
+    # The sockets are read once more in the same turn before the router closes connections and exits.
     after_read = router.step(0.4 + killed_after - 0.1, [events.Woken()])
     assert events.HalfCloseClient(1) in after_read and (ended + after_read).count(events.Exit()) == 1
