--- a/grebeproxy/net/router/attempts.py
+++ b/grebeproxy/net/router/attempts.py
@@ -115,7 +115,7 @@
     def _finish_health_check(self, link: Link) -> None:
         checked_at = link.health_checked_at
         if link.id in self._links and checked_at is not None and link.last_received_at <= checked_at:
-            link.retired = True  # the attempts in flight on the connection may still be answered
+            link.retired = True  # The attempts in flight on the connection may still be answered.
             if not link.attempts:
                 self._drop_link(link)
         link.health_checked_at = None
@@ -150,7 +150,7 @@
         link.last_received_at = self.now
         attempt = link.attempts.get(answer.txn)
         if attempt is None or not attempt.written:
-            return  # the answer is late, to an abandoned attempt, or unsolicited
+            return  # The answer is a late one to an abandoned attempt, or unsolicited.
         attempt.load_report = answer.report or attempt.load_report
         match answer.kind:
             case AnswerKind.OK if attempt.pages is None:
@@ -169,7 +169,7 @@
                 self._effects.append(LogLine(log_line("router.engine_answer.invalid", engine=link.engine)))
                 self._drop_link(link)
             case AnswerKind.ALIVE | AnswerKind.OK:
-                pass  # an OK that arrives here repeats the first one and is harmless
+                pass  # An OK that arrives here repeats the first one and is harmless.
             case _:
                 # The answer may say that a page is lost: the statement ran, but a partial result is wrong.
                 self._end_attempt(attempt, api.Outcome.ERROR)
--- a/grebeproxy/net/router/decisions.py
+++ b/grebeproxy/net/router/decisions.py
@@ -50,7 +50,7 @@
         """
         try:
             return self._decision_module.handle(self.now, events)
-        except Exception:  # any exception is caught, because open requests still have to be answered
+        except Exception:  # Any exception is caught, because open requests still have to be answered.
             self._effects.append(LogLine(f"router.decision_module.failed\n{traceback.format_exc()}"))
             return []
 
--- a/grebeproxy/net/router/discovery.py
+++ b/grebeproxy/net/router/discovery.py
@@ -28,7 +28,7 @@
         self._change_log = Follower(options.changelog, now)
 
     def _on_change_log_event(self, event: ChangeLogEvent) -> None:
-        """Process an event of the change log's connection, unless an earlier connection opened or closed."""
+        """Process an event of the change log. The opening or closing of an earlier connection is ignored."""
         match event:
             case ChangeLogOpened(dial) if dial == self._change_log.dials:
                 self._change_log.opened(self.now)
--- a/grebeproxy/net/router/engine_links.py
+++ b/grebeproxy/net/router/engine_links.py
@@ -33,7 +33,7 @@
         if request.in_flight is not attempt:
             return
         if attempt.link is not None and attempt.written and not settled:
-            request.abandoned_links.add(attempt.link.id)  # pages or a second answer may still arrive on it
+            request.abandoned_links.add(attempt.link.id)  # Pages or a second answer may still arrive on it.
         self._detach(attempt)
         self._partial_result_bytes -= attempt.result_bytes
         request.in_flight = None
--- a/grebeproxy/net/router/records.py
+++ b/grebeproxy/net/router/records.py
@@ -34,9 +34,8 @@
     engine: str
     started_at: float
     deadline: float
-    write_by: (
-        float  # time after which the attempt is not written, because a retry is harmless only for a time
-    )
+    # The attempt is not written after this time, because a retry is harmless only for a limited time.
+    write_by: float
     link: Link | None = None
     written: bool = False
     stopped: bool = False
--- a/grebeproxy/net/router/serving.py
+++ b/grebeproxy/net/router/serving.py
@@ -15,7 +15,7 @@
         self._listening = False
         self._stopping = False
         self._standby_since: float | None = None  # time at which an operator put this process on standby
-        self._accept_until = float("inf")  # requests that arrive later are rejected
+        self._accept_until = float("inf")  # Requests that arrive later are rejected.
 
     def _draining(self) -> bool:
         """Whether clients are moved elsewhere: pings get "not serving", and idle connections are closed."""
--- a/grebeproxy/net/router/shutdown.py
+++ b/grebeproxy/net/router/shutdown.py
@@ -14,8 +14,8 @@
 # listening socket. The platform sends new connections for 0.4 s after the stop.
 ACCEPT_AFTER_STOP = 0.5
 MIN_TIME_TO_EXIT = 0.7  # seconds between a stop and the exit, even if all requests are answered earlier
-# The platform kills the process a margin of 0.7 s after the longest deadline, or after this delay if it is
-# shorter.
+# The platform kills the process 0.7 s after the longest deadline, counted from the stop, but at most 0.7 s
+# after these delays.
 MAX_KILL_DELAY = 3.0  # seconds
 MAX_KILL_DELAY_SHARED_SOCKET = 5.0  # seconds, if another process takes over the socket
 KILL_MARGIN = 0.6  # seconds, 0.1 s less than the platform's margin
--- a/grebeproxy/net/router/state_machine.py
+++ b/grebeproxy/net/router/state_machine.py
@@ -87,7 +87,7 @@
         """Ask to be woken when something is due, unless an earlier ``Wake`` covers it."""
         due = self._timers.next_due()
         if self._idle_clients or self._may_exit():
-            due = self.now  # idle clients and the exit wait until the sockets were read once more
+            due = self.now  # Idle clients and the exit wait until the sockets were read once more.
         if self._module_events:
             due = self._next_decision_at if due is None else min(due, self._next_decision_at)
         if due is not None and (self._wake_at is None or due < self._wake_at or self._wake_at <= self.now):
--- a/tests/test_change_log_delays.py
+++ b/tests/test_change_log_delays.py
@@ -98,7 +98,7 @@
     followed = FollowedChangeLog(latency=0.05)
     followed.run(3.0 + phase, frames=True)
     assert followed.runs
-    followed.drain_engine()  # the connection stays open and delivers nothing more
+    followed.drain_engine()  # The connection stays open and delivers nothing more.
     assert followed.obeys_drain()
 
 
@@ -143,7 +143,7 @@
     followed = FollowedChangeLog(latency=0.05)
     followed.run(3.0, frames=True)
     followed.drain_engine()
-    written, followed.broken_until = followed.now, followed.now + broken  # connections are refused at first
+    written, followed.broken_until = followed.now, followed.now + broken  # Connections are refused at first.
     followed.carry_out(followed.router.step(followed.now, [events.ChangeLogClosed("reset", followed.dials)]))
     while followed.now < written + DRAIN_GRACE - 0.02:
         followed.run(followed.now + 0.03, frames=False)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -218,7 +218,8 @@
     router.terminate()
     router.run()
     engine.sendall(encode_answer(2))
-    client.sendall(encode_request(3))  # arrives in one turn with the answer, after which no request is open
+    # The request arrives in one turn with the answer, after which no request is open.
+    client.sendall(encode_request(3))
     router.run()
     assert read_available(engine).count(b"REQ") == 2
     engine.sendall(encode_answer(3))
@@ -235,9 +236,8 @@
     router.run()
     client.sendall(encode_request(2))
     router.run()
-    assert b"REQ" not in read_available(engine) and reached_end(
-        client
-    )  # no reset, so the client may retry elsewhere
+    # The connection ends without a reset, so the client may retry elsewhere.
+    assert b"REQ" not in read_available(engine) and reached_end(client)
 
 
 def test_the_last_answer_is_complete_though_bytes_arrive_after_the_half_close(router: SteppedRouter) -> None:
@@ -246,7 +246,7 @@
     engine = router.accept_engine_connection()
     router.run()
     router.terminate()
-    router.run(0.8)  # the process exits after this answer
+    router.run(0.8)  # The process exits after this answer.
     router.shrink_client_send_buffers()
     engine.sendall(encode_long_answer(1))
     router.run(0.01)
@@ -266,7 +266,7 @@
     engine = router.accept_engine_connection()
     router.run()
     router.terminate()
-    router.run(0.8)  # the process exits after this answer
+    router.run(0.8)  # The process exits after this answer.
     router.shrink_client_send_buffers()
     engine.sendall(encode_long_answer(1))
     router.run(0.05)
@@ -328,7 +328,7 @@
     client.sendall(encode_request(1))
     release_dial = router.hold_next_dial()
     release_dial()
-    router.loop.call_soon(time.sleep, 0.3)  # the connection opens during the pause, which exceeds its timeout
+    router.loop.call_soon(time.sleep, 0.3)  # The connection opens during a pause longer than its timeout.
     engine = router.accept_engine_connection()
     router.run()
     assert b"REQ" in read_available(engine)
@@ -340,7 +340,7 @@
     engine = router.accept_engine_connection()
     router.run()
     read_available(engine)
-    engine.sendall(encode_answer(1, b"", "error", "-"))  # the router would retry after this error
+    engine.sendall(encode_answer(1, b"", "error", "-"))  # The router would retry after this error.
     time.sleep(0.01)
     client.close()
     router.run(0.3)
@@ -351,9 +351,9 @@
 
 def test_a_connection_with_a_request_as_its_idle_timeout_ends_is_not_closed(router: SteppedRouter) -> None:
     client = router.connect_client()
-    router.run(1.5)  # the client has to send its first request within 2 s
+    router.run(1.5)  # The client has to send its first request within 2 s.
     time.sleep(0.8)
-    client.sendall(encode_request(1))  # the request is sent just in time
+    client.sendall(encode_request(1))  # The request is sent just in time.
     engine = router.accept_engine_connection()
     router.run()
     engine.sendall(encode_answer(1))
@@ -365,16 +365,15 @@
 
 
 def test_idle_clients_may_reach_the_connection_limit_while_the_change_log_is_down() -> None:
-    router = SteppedRouter(
-        **{"limits.sockets": 150}
-    )  # the limit allows 52 connections of clients and 50 to engines
+    # The limit allows 52 connections of clients and 50 to engines.
+    router = SteppedRouter(**{"limits.sockets": 150})
     idle_clients = [router.connect_client() for _ in range(90)]
     router.run(0.3)
     assert len(router.runtime.clients) == router.runtime.bounds.clients == 52
     router.change_log_connection.close()
-    router.change_log_listener.close()  # connections to the change log are refused from now on
+    router.change_log_listener.close()  # Connections to the change log are refused from now on.
     router.run(0.3)
-    newcomer = router.connect_client()  # the router closes an idle connection to accept this one
+    newcomer = router.connect_client()  # The router closes an idle connection to accept this one.
     newcomer.sendall(encode_request(1))
     engine = router.accept_engine_connection()
     router.run()
@@ -384,7 +383,7 @@
     assert not any(engine.fault_rate or engine.ejected_at is not None for engine in router.engine_records())
     dials = router.runtime._router._change_log.dials
     router.run(1.0)
-    assert router.runtime._router._change_log.dials > dials  # the change log is dialled nevertheless
+    assert router.runtime._router._change_log.dials > dials  # The change log is dialled nevertheless.
     assert all(reached_end(client) for client in idle_clients[:30])  # closed gracefully, the oldest first
     router.close()
 
--- a/tests/test_late_decisions.py
+++ b/tests/test_late_decisions.py
@@ -61,9 +61,8 @@
 
 def test_a_first_attempt_that_is_decided_late_is_not_taken_for_a_retry() -> None:
     router = serving_router()
-    router.step(
-        1.0, [events.ClientMessageReceived(1, call(6))]
-    )  # the decision module's next round is a tick later
+    # The decision module's next round is a tick after this step.
+    router.step(1.0, [events.ClientMessageReceived(1, call(6))])
     effects = router.step(1.001, [events.ClientMessageReceived(1, call(7))])
     effects += router.step(1.001 + LATENESS, [events.Woken()])
     assert 7 not in rejected(effects)
@@ -118,6 +117,6 @@
 
 def test_unmarked_requests_in_the_simulator_are_first_attempts_whatever_time_is_left() -> None:
     harness = RouterHarness(make_settings(clients_mark_retries=True), engines=0)
-    for left in (3.6, 3.6, 3.6, 3.4):  # the last request had to wait for its batch
+    for left in (3.6, 3.6, 3.6, 3.4):  # The last request had to wait for its batch.
         harness.submit(wait=left, work=0.1, id=f"left {left}")
     assert harness.choice.queries["left 3.4"].arrived_at == harness.now
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -204,7 +204,7 @@
         if ordering_key is not None:
             self.accepted.setdefault(ordering_key, []).append(txn)
         self.step(events.ClientMessageReceived(conn, call))
-        if at_once:  # the request is forwarded at once if an engine is available
+        if at_once:  # The request is forwarded at once if an engine is available.
             self.advance(0.006)
             self.open_all_links()
 
@@ -270,9 +270,9 @@
                 kind in (messages.AnswerKind.FULL, messages.AnswerKind.STALE)
                 and self.first_attempts[txn][0] == self.last_started[txn]
             ):
-                del self.first_attempts[txn]  # the only attempt so far did not run
+                del self.first_attempts[txn]  # The only attempt so far did not run.
             self.step(events.LinkAnswerReceived(link, messages.EngineAnswer(txn, kind, b"row\n")))
-            if at_once:  # a retry, if there is one, is forwarded at once
+            if at_once:  # A retry, if there is one, is forwarded at once.
                 self.advance(0.006)
                 self.open_all_links()
 
@@ -291,14 +291,13 @@
     def engine_is_overridden(self, engine: str, disable: bool, upgrade: bool) -> None:
         self.admin_results.clear()
         gone = engine != "nobody" and self.listed[engine] is api.EngineState.GONE
-        if engine != "nobody" and not (
-            disable and gone and not upgrade
-        ):  # the router does not know an engine that has gone
+        # The router does not know an engine that has gone.
+        if engine != "nobody" and not (disable and gone and not upgrade):
             (self.disabled.add if disable else self.disabled.discard)(engine)
         call: messages.AdminCall = (
             messages.MaintenanceOn(engine) if disable else messages.MaintenanceOff(engine)
         )
-        if upgrade and engine != "nobody":  # another process of this router got the call
+        if upgrade and engine != "nobody":  # Another process of this router got the call.
             number = 1 + max((number for number, _ in self.router._overrides.calls.values()), default=0)
             self.step(events.OverridesRead({engine: (number, disable)}))
         else:
--- a/tests/test_paused_process.py
+++ b/tests/test_paused_process.py
@@ -71,7 +71,7 @@
     assert b"SELECT" not in read_available(engine)
     client.sendall(encode_request(3))
     router.run(0.1)
-    assert b"SELECT" in read_available(engine)  # the connection is still used
+    assert b"SELECT" in read_available(engine)  # The connection is still used.
 
 
 @pytest.mark.parametrize("reset", [False, True])
@@ -82,9 +82,8 @@
     staying, leaving = router.connect_client(), router.connect_client()
     for number, client in ((1, staying), (2, leaving)):
         client.sendall(encode_request(number))
-    engines = [
-        router.accept_engine_connection(number) for number in range(len(router.engine_listeners))
-    ]  # one request is sent to each
+    # One request is sent to each engine.
+    engines = [router.accept_engine_connection(number) for number in range(len(router.engine_listeners))]
     router.run()
     for engine in engines:
         engine.sendall(encode_answer(2 if b"%016x" % 2 in read_available(engine) else 1))
@@ -100,7 +99,7 @@
     assert not any(b"%016x" % 3 in read_available(engine) for engine in engines)
     staying.sendall(encode_request(4))
     router.run(0.1)
-    assert any(b"%016x" % 4 in read_available(engine) for engine in engines)  # the connections are still used
+    assert any(b"%016x" % 4 in read_available(engine) for engine in engines)  # They are still used.
 
 
 def test_a_first_request_that_waits_unread_during_a_pause_keeps_its_connection(router: SteppedRouter) -> None:
@@ -108,9 +107,8 @@
     router.run()
     pause_before_next_step(router, FIRST_REQUEST_PAUSE, lambda: late.sendall(encode_request(2)))
     busy.sendall(encode_request(1, "report", limit="20000"))
-    engines = [
-        router.accept_engine_connection(number) for number in range(len(router.engine_listeners))
-    ]  # one request is sent to each
+    # One request is sent to each engine.
+    engines = [router.accept_engine_connection(number) for number in range(len(router.engine_listeners))]
     router.run(0.1)
     for engine in engines:
         engine.sendall(encode_answer(2 if b"%016x" % 2 in read_available(engine) else 1))
@@ -126,7 +124,7 @@
     """
     client = router.connect_client()
     client.sendall(encode_request(1, "report", limit="20000"))
-    router.accept_engine_connection()  # the engine never answers
+    router.accept_engine_connection()  # The engine never answers.
     router.run()
     terminated_at = time.monotonic()
     time.sleep(LONG_PAUSE)
