--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -16,7 +16,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from members import Network
+from simulated_members import SimulatedNetwork
 
 from grebeproxy.membership import Effect, Membership, Send
 from grebeproxy.membership.wire import PacketCodec, pack_message
@@ -28,19 +28,19 @@
 FAILURE_RUNS = ((9, 20), (50, 3))  # members, and seeds to run
 
 
-class WeighedNetwork(Network):
+class WeighedNetwork(SimulatedNetwork):
     """Counts the bytes of what is sent."""
 
     sent_bytes = 0
 
-    def carry_out(self, place: int, core: Membership, effects: Iterable[Effect]) -> None:
+    def carry_out(self, slot: int, membership: Membership, effects: Iterable[Effect]) -> None:
         """Seal each packet as well, to count its bytes."""
         effects = list(effects)
-        sealed = PacketCodec(b"k" * 16, core.me.instance, 1)
+        sealed = PacketCodec(b"k" * 16, membership.me.instance, 1)
         for effect in effects:
             if isinstance(effect, Send):
                 self.sent_bytes += len(sealed.seal([1, pack_message(effect.message)]))
-        super().carry_out(place, core, effects)
+        super().carry_out(slot, membership, effects)
 
 
 def joined(members: int, seed: int, loss: float) -> WeighedNetwork:
@@ -56,10 +56,10 @@
 def quiet_cost(members: int) -> str:
     """What each member sends a second while nothing changes."""
     network = joined(members, 1, 0.0)
-    sent_before = network.sent
+    sent_before = network.sent_count
     bytes_before = network.sent_bytes
     network.run(QUIET_SECONDS)
-    packets = (network.sent - sent_before) / members / QUIET_SECONDS
+    packets = (network.sent_count - sent_before) / members / QUIET_SECONDS
     sent_bytes = (network.sent_bytes - bytes_before) / members / QUIET_SECONDS
     return f"{members:5} members: {packets:5.1f} packets, {sent_bytes:6.0f} bytes a second and member"
 
@@ -80,7 +80,7 @@
         began = network.now
         network.run_until(
             lambda network=network, killed=killed: all(  # type: ignore[misc]
-                killed not in core.view.members for core in network.cores.values()
+                killed not in membership.view.members for membership in network.memberships.values()
             ),
             MOST_SECONDS,
         )
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -1,4 +1,4 @@
-"""Datagrams between routers: they decode as encoded; corrupt, foreign and replayed ones are rejected."""
+"""The packet codec: packets decode as encoded; corrupt, foreign and replayed packets are rejected."""
 
 from __future__ import annotations
 
@@ -46,17 +46,17 @@
 KEY = b"a key of the fleet"
 
 
-def pair(settings_digest: int = 7) -> tuple[PacketCodec, PacketCodec]:
+def codec_pair(settings_digest: int = 7) -> tuple[PacketCodec, PacketCodec]:
     return PacketCodec(KEY, 1, 7), PacketCodec(KEY, 2, settings_digest)
 
 
 @given(MESSAGES)
 def test_a_message_decodes_as_it_was_encoded_and_fits_a_packet(message: Message) -> None:
-    one, other = pair()
-    packet = one.seal(pack_message(message))
+    sender, receiver = codec_pair()
+    packet = sender.seal(pack_message(message))
     assert len(packet) <= MAX_PACKET_BYTES
-    assert unpack_message(other.open(packet)) == message
-    # Decoded by hand as well: the wire is as documented.
+    assert unpack_message(receiver.open(packet)) == message
+    # The packet is also decoded without the codec, to check that it has the documented layout.
     instance, number, settings_digest, payload = msgpack.unpackb(packet[1 + DIGEST_BYTES :])
     assert (packet[0], instance, number, settings_digest) == (2, 1, 1, 7)
     assert payload[0] == int(message.kind) and len(payload[5]) == len(message.facts)
@@ -68,22 +68,22 @@
 
 @given(MESSAGES, st.data())
 def test_a_corrupt_packet_is_rejected(message: Message, data: st.DataObject) -> None:
-    one, other = pair()
-    packet = one.seal(pack_message(message))
+    sender, receiver = codec_pair()
+    packet = sender.seal(pack_message(message))
     position = data.draw(st.integers(0, len(packet) - 1))
     flipped = bytes([packet[position] ^ data.draw(st.integers(1, 255))])
     for corrupt in (packet[:position], packet[:position] + flipped + packet[position + 1 :], packet + b"x"):
         with pytest.raises(WireError):
-            other.open(corrupt)
+            receiver.open(corrupt)
 
 
 @given(st.binary(max_size=MAX_PACKET_BYTES + 1))
-def test_noise_is_rejected(noise: bytes) -> None:
+def test_random_bytes_are_rejected(data: bytes) -> None:
     with pytest.raises(WireError):
-        pair()[1].open(noise)
+        codec_pair()[1].open(data)
 
 
-SCRAPS = st.recursive(
+PLAIN_VALUES = st.recursive(
     st.one_of(
         st.none(),
         st.booleans(),
@@ -96,11 +96,11 @@
 )
 
 
-@given(SCRAPS)
-def test_a_payload_that_makes_no_sense_is_rejected(payload: object) -> None:
-    one, other = pair()
+@given(PLAIN_VALUES)
+def test_a_malformed_payload_is_rejected(payload: object) -> None:
+    sender, receiver = codec_pair()
     try:
-        opened = other.open(one.seal(payload))
+        opened = receiver.open(sender.seal(payload))
     except WireError:
         return
     with pytest.raises(WireError):
@@ -116,20 +116,20 @@
         unpack_message(fields)
 
 
-def test_another_key_or_settings_digest_or_an_old_version_is_rejected_and_a_later_one_accepted() -> None:
-    one, other = pair()
-    packet = one.seal([1])
-    for wrong in (PacketCodec(b"another key", 2, 7), PacketCodec(KEY, 2, 8)):
+def test_another_key_settings_digest_or_old_version_is_rejected_and_a_later_version_accepted() -> None:
+    sender, receiver = codec_pair()
+    packet = sender.seal([1])
+    for mismatched in (PacketCodec(b"another key", 2, 7), PacketCodec(KEY, 2, 8)):
         with pytest.raises(WireError):
-            wrong.open(packet)
-    assert other.open(packet) == [1]
+            mismatched.open(packet)
+    assert receiver.open(packet) == [1]
 
-    def by_hand(version: int, body: list[object]) -> bytes:
+    def build_packet(version: int, body: list[object]) -> bytes:
         written: bytes = msgpack.packb(body)
-        return bytes([version]) + one._digest(version, written) + written
+        return bytes([version]) + sender._digest(version, written) + written
 
-    assert other.open(by_hand(1, [5, 1, ["no mark"]])) == ["no mark"]
-    assert other.open(by_hand(9, [5, 2, 7, ["p"], "what a later version adds"])) == ["p"]
+    assert receiver.open(build_packet(1, [5, 1, ["no mark"]])) == ["no mark"]
+    assert receiver.open(build_packet(9, [5, 2, 7, ["p"], "what a later version adds"])) == ["p"]
     unusable: list[tuple[int, list[object]]] = [
         (0, [5, 3, 7, []]),
         (2, [5]),
@@ -138,25 +138,25 @@
     ]
     for version, body in unusable:
         with pytest.raises(WireError):
-            other.open(by_hand(version, body))
+            receiver.open(build_packet(version, body))
 
 
 def test_a_replayed_packet_is_rejected_in_any_order() -> None:
-    one, other = pair()
-    packets = [one.seal([n]) for n in range(200)]
+    sender, receiver = codec_pair()
+    packets = [sender.seal([n]) for n in range(200)]
     order = packets * 2
     Random(1).shuffle(order)
     accepted = []
     for packet in order:
         try:
-            accepted.append(other.open(packet)[0])
+            accepted.append(receiver.open(packet)[0])
         except WireError:
             continue
     assert sorted(accepted) == list(range(200))
 
 
 @given(st.lists(st.integers(1, 3 * REPLAY_WINDOW), max_size=60))
-def test_the_window_accepts_what_a_set_of_all_numbers_would(numbers: list[int]) -> None:
+def test_the_replay_window_accepts_what_a_set_of_all_numbers_would_accept(numbers: list[int]) -> None:
     window = ReplayWindow()
     arrived: set[int] = set()
     for number in numbers:
@@ -166,7 +166,7 @@
 
 
 def test_the_number_of_remembered_senders_is_bounded() -> None:
-    other = PacketCodec(KEY, 2, 7)
+    receiver = PacketCodec(KEY, 2, 7)
     for instance in range(5000):
-        other.open(PacketCodec(KEY, instance, 7).seal([]))
-    assert len(other._windows) == 4096
+        receiver.open(PacketCodec(KEY, instance, 7).seal([]))
+    assert len(receiver._windows) == 4096
