--- a/grebeproxy/membership/wire.py
+++ b/grebeproxy/membership/wire.py
@@ -21,8 +21,8 @@
 
 from grebeproxy.membership.model import MAX_NAME_BYTES, Fact, Kind, MembershipError, Message, State
 
-VERSION = 2
-OLDEST_VERSION = 1
+VERSION = 2  # version of the packets that are sent
+OLDEST_VERSION = 1  # lowest version that is accepted; any later one is
 VERSION_WITHOUT_SETTINGS = 1
 MAX_PACKET_BYTES = 1200  # low enough that networks do not fragment a packet
 DIGEST_BYTES = 16  # length of the keyed digest
@@ -31,10 +31,10 @@
 MAX_PORT = 65535
 MAX_HOST_CHARACTERS = 64
 MAX_FACTS = 16  # most facts accepted in one message
-BODY_FIELDS = 4
+BODY_FIELDS = 4  # number of fields that this version reads of a body
 SETTINGS_FIELD = 2  # index of the settings digest in the body
-MESSAGE_FIELDS = 6
-FACT_FIELDS = 7
+MESSAGE_FIELDS = 6  # number of fields that this version reads of a message
+FACT_FIELDS = 7  # number of fields that this version reads of a fact
 REPLAY_WINDOW = 1024  # a packet may be late by fewer packet numbers than this
 MAX_SENDERS = 4096  # processes whose packet numbers are remembered, the most recently heard ones
 
@@ -189,9 +189,9 @@
         return Message(
             Kind(kind),
             _unpack_fact(sender),
-            _natural(number),
-            _name_or_empty(target),
-            _natural(digest),
+            _checked_natural(number),
+            _checked_name_or_empty(target),
+            _checked_natural(digest),
             tuple(_unpack_fact(fact) for fact in facts),
         )
     except (ValueError, TypeError, KeyError, AttributeError):
@@ -207,27 +207,27 @@
     _require(isinstance(host, str) and 1 <= len(host) <= MAX_HOST_CHARACTERS)
     _require(_is_natural(port) and 1 <= port <= MAX_PORT)
     return Fact(
-        _name(name),
+        _checked_name(name),
         (host, port),
-        _natural(instance),
-        _natural(incarnation),
+        _checked_natural(instance),
+        _checked_natural(incarnation),
         State(state),
-        _name_or_empty(suspected_by),
+        _checked_name_or_empty(suspected_by),
     )
 
 
-def _name(value: object) -> str:
+def _checked_name(value: object) -> str:
     _require(value != "")
-    return _name_or_empty(value)
+    return _checked_name_or_empty(value)
 
 
-def _name_or_empty(value: object) -> str:
+def _checked_name_or_empty(value: object) -> str:
     if not isinstance(value, str) or len(value.encode()) > MAX_NAME_BYTES:
         raise PacketRejectedError(RejectReason.MALFORMED)
     return value
 
 
-def _natural(value: object) -> int:
+def _checked_natural(value: object) -> int:
     if not isinstance(value, int) or not _is_natural(value):
         raise PacketRejectedError(RejectReason.MALFORMED)
     return value
