--- a/tests/lab.py
+++ b/tests/peers_lab.py
@@ -1,7 +1,8 @@
-"""Real router processes on loopback, with relays between them that lose, delay, duplicate or cut.
+"""Real router processes on loopback, with relays between them that lose, delay, duplicate or block packets.
 
-Each router advertises a port of its own relay. The relay knows the sender of a packet by the port it came
-from, and forwards it or not. A server for the duty keeps an independent record of what took effect.
+Each router advertises the port of its own relay. The relay identifies the sender of a packet by its source
+port, and forwards or drops the packet. A server that receives the duty's reports keeps an independent record
+of those that took effect.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 
 class Relay(asyncio.DatagramProtocol):
-    """Receives what the others send to one router."""
+    """Receives the packets that the other routers send to one router."""
 
     def __init__(self, lab: Lab, to: int) -> None:
         self.lab, self.to = lab, to
@@ -48,10 +49,10 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        lab, sender = self.lab, self.lab.by_port.get(addr[1], -1)
+        lab, sender = self.lab, self.lab.router_by_port.get(addr[1], -1)
         lab.datagrams += 1
-        lab.bytes += len(data)
-        if lab.cut(sender, self.to) or lab.rng.random() < lab.loss:
+        lab.datagram_bytes += len(data)
+        if lab.is_cut(sender, self.to) or lab.rng.random() < lab.loss:
             return
         for _ in range(1 + (lab.rng.random() < lab.duplication)):
             asyncio.get_running_loop().call_later(lab.rng.uniform(*lab.delay), self.forward, data)
@@ -62,25 +63,27 @@
 
 
 class Lab:
-    """``size`` routers. Tests set the faults; relays and the duty's server run on another thread."""
+    """``size`` routers. Tests set the faults; the relays and the duty's server run on another thread."""
 
     def __init__(self, folder: Path, size: int, seed: int = 1) -> None:
         self.folder, self.size, self.rng = folder, size, Random(seed)
         self.ports = [free_port(socket.SOCK_DGRAM) for _ in range(size)]
-        self.by_port = {port: router for router, port in enumerate(self.ports)}
-        self.cut: Callable[[int, int], bool] = lambda a, b: False
+        self.router_by_port = {port: router for router, port in enumerate(self.ports)}
+        self.is_cut: Callable[[int, int], bool] = lambda sender, receiver: False
         self.loss = self.duplication = 0.0
         self.delay = (0.0, 0.005)
-        self.datagrams = self.bytes = 0
+        self.datagrams = self.datagram_bytes = 0
         self.fence = Fence()
-        self.rejected = 0  # reports under a token that is no longer the highest
-        self.effects: list[tuple[float, Token]] = []
+        self.rejected = 0  # number of reports under a token that is no longer the highest
+        self.duty_effects: list[tuple[float, Token]] = []
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
         self.starts = [0] * size
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
-        self.relays, self.duty = asyncio.run_coroutine_threadsafe(self.listen(), self.loop).result(10)
+        self.relay_ports, self.duty_port = asyncio.run_coroutine_threadsafe(self.listen(), self.loop).result(
+            10
+        )
 
     async def listen(self) -> tuple[list[int], int]:
         ports = []
@@ -92,12 +95,12 @@
         return ports, server.sockets[0].getsockname()[1]
 
     async def serve_duty(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer one report: the duty takes effect, or the report is rejected."""
+        """Answer one report, which takes effect or is rejected."""
         match (await reader.readline()).decode().split():
             case ["do", duty, ballot, holder]:
                 token = Token(int(ballot), holder)
                 if self.fence.admit(duty, token):
-                    self.effects.append((time.monotonic(), token))
+                    self.duty_effects.append((time.monotonic(), token))
                     writer.write(b"ACK\n")
                 else:
                     self.rejected += 1
@@ -113,11 +116,11 @@
                 {"name": f"n{router}", "listen": f"127.0.0.1:{port}", "changelog": f"127.0.0.1:{log}"}
             )
             (home / "config.json").write_bytes(orjson.dumps(config))
-            seeds = ", ".join(f'"127.0.0.1:{relay}"' for relay in self.relays)
+            seeds = ", ".join(f'"127.0.0.1:{relay}"' for relay in self.relay_ports)
             (home / "peers.hcl").write_text(f"""
 peers {{
   listen    = "127.0.0.1:{self.ports[router]}"
-  advertise = "127.0.0.1:{self.relays[router]}"
+  advertise = "127.0.0.1:{self.relay_ports[router]}"
   fleet     = {fleet or self.size}
   seeds     = [{seeds}]
   key       = "{KEY}"
@@ -126,7 +129,7 @@
   settle_ms = 500
 }}
 duty "count" {{
-  report   = "127.0.0.1:{self.duty}"
+  report   = "127.0.0.1:{self.duty_port}"
   every_ms = 50
 }}
 """)
@@ -143,7 +146,7 @@
                 },
             )
 
-    def signal(self, number: signal.Signals, *routers: int) -> None:
+    def send_signal(self, number: signal.Signals, *routers: int) -> None:
         for router in routers:
             self.processes[router].send_signal(number)
 
@@ -153,39 +156,39 @@
             process.kill()
             process.wait()
 
-    def lines(self, router: int) -> list[dict[str, Any]]:
+    def log_events(self, router: int) -> list[dict[str, Any]]:
         """The log events of the router's latest process."""
         text = (self.folder / f"n{router}" / f"log{self.starts[router] - 1}").read_text()
         return [json.loads(line) for line in text.splitlines() if line.startswith("{")]
 
     def view(self, router: int) -> dict[str, Any]:
-        views = [line for line in self.lines(router) if line["event"] == "peers.view.changed"]
+        views = [line for line in self.log_events(router) if line["event"] == "peers.view.changed"]
         return views[-1] if views else {"members": "", "condition": "none"}
 
-    def agree(self, routers: list[int]) -> bool:
+    def views_agree(self, routers: list[int]) -> bool:
         names = " ".join(f"n{router}" for router in routers)
         return all(self.view(router)["members"] == names for router in routers)
 
-    def until(self, condition: Callable[[], bool], timeout: float) -> float:
+    def wait_until(self, condition: Callable[[], bool], timeout: float) -> float:
         began = time.monotonic()
         while not condition():
             assert time.monotonic() - began < timeout, f"not within {timeout} s"
             time.sleep(0.1)
         return time.monotonic() - began
 
-    def until_duty_is_done(self, timeout: float) -> None:
-        """Wait until the duty has taken effect some more times, whoever holds its lease."""
-        before = len(self.effects)
-        self.until(lambda: len(self.effects) > before + 5, timeout)
+    def wait_until_duty_is_done(self, timeout: float) -> None:
+        """Wait until the duty has taken effect several more times, whichever router holds its lease."""
+        before = len(self.duty_effects)
+        self.wait_until(lambda: len(self.duty_effects) > before + 5, timeout)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         for process in self.processes.values():
             process.kill()
             process.wait()
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join(10)
 
-    def check(self) -> None:
-        """Fail unless the tokens of all that took effect are in order."""
-        tokens = [token for _, token in self.effects]
+    def check_token_order(self) -> None:
+        """Fail unless the tokens of all reports that took effect are in order."""
+        tokens = [token for _, token in self.duty_effects]
         assert tokens == sorted(tokens) and tokens
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""The operator file, and the node's handling of payloads, votes and wake-ups."""
+"""Tests of the operator file, and of the node's handling of payloads, votes and wake-ups."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from grebeproxy.replica.deltas import MAX_DELTA_BYTES
 from grebeproxy.replica.exchange import MAX_ORIGINS_PER_DIGEST
 
-COMPLETE = """
+COMPLETE_FILE = """
 peers {
   listen = "127.0.0.1:7946"
   fleet  = 3
@@ -31,18 +31,18 @@
   every_ms = 250
 }
 """
-EXAMPLE = Path(__file__).parent.parent / "deploy" / "peers.hcl"
+EXAMPLE_FILE = Path(__file__).parent.parent / "deploy" / "peers.hcl"
 
 
 def test_a_file_is_read_with_its_defaults() -> None:
-    config = parse(COMPLETE, "n1")
+    config = parse(COMPLETE_FILE, "n1")
     assert config.listen == config.member.address == ("127.0.0.1", 7946) and config.member.fleet == 3
     assert (config.member.period, config.member.timeout, config.lease) == (0.5, 0.15, 3.0)
     assert [(duty.name, duty.interval) for duty in config.duties] == [("nightly", 0.25)]
 
 
 def test_the_example_file_is_valid() -> None:
-    assert load(str(EXAMPLE), "n1").member.fleet == 3
+    assert load(str(EXAMPLE_FILE), "n1").member.fleet == 3
 
 
 @pytest.mark.parametrize(
@@ -69,17 +69,18 @@
         ('duty "nightly" {', "duty {", "duty:"),
     ],
 )
-def test_a_faulty_key_is_named_in_one_line(old: str, new: str, key: str) -> None:
-    assert old in COMPLETE
+def test_an_error_names_the_faulty_key_in_one_line(old: str, new: str, key: str) -> None:
+    assert old in COMPLETE_FILE
     with pytest.raises(OperatorFileError) as caught:
-        parse(COMPLETE.replace(old, new, 1), "n1")
+        parse(COMPLETE_FILE.replace(old, new, 1), "n1")
     assert str(caught.value).startswith(key) and "\n" not in str(caught.value)
 
 
 @pytest.mark.parametrize(
-    ("text", "key"), [("peers = 3", "peers:"), (COMPLETE[: COMPLETE.index("duty")] + "duty = 3", "duty:")]
+    ("text", "key"),
+    [("peers = 3", "peers:"), (COMPLETE_FILE[: COMPLETE_FILE.index("duty")] + "duty = 3", "duty:")],
 )
-def test_a_value_in_place_of_a_block_is_a_fault_of_that_key(text: str, key: str) -> None:
+def test_a_value_in_place_of_a_block_is_an_error_that_names_its_key(text: str, key: str) -> None:
     with pytest.raises(OperatorFileError, match=f"^{key}"):
         parse(text, "n1")
 
@@ -95,12 +96,12 @@
     with pytest.raises(OperatorFileError):
         load(str(tmp_path / "none"), "n1")
     with pytest.raises(OperatorFileError, match=r"peers\.name"):
-        parse(COMPLETE, "n" * 33)
+        parse(COMPLETE_FILE, "n" * 33)
 
 
 def test_the_settings_digest_covers_what_must_be_the_same_at_all_routers() -> None:
     digests = {
-        parse(COMPLETE.replace(old, new), name).settings_digest
+        parse(COMPLETE_FILE.replace(old, new), name).settings_digest
         for old, new, name in (
             ("", "", "n1"),
             ("fleet  = 3", "fleet = 5", "n1"),
@@ -110,20 +111,21 @@
     }
     assert len(digests) == 4
     assert (
-        parse(COMPLETE, "n1").settings_digest == parse(COMPLETE.replace(":7946", ":1"), "n2").settings_digest
+        parse(COMPLETE_FILE, "n1").settings_digest
+        == parse(COMPLETE_FILE.replace(":7946", ":1"), "n2").settings_digest
     )
 
 
-CONFIG = parse(COMPLETE, "n1")
+CONFIG = parse(COMPLETE_FILE, "n1")
 
 
-def node() -> Node:
-    made = Node(CONFIG, 5, Random(5), 0.0)
-    made.start(0.0)
-    return made
+def started_node() -> Node:
+    started = Node(CONFIG, 5, Random(5), 0.0)
+    started.start(0.0)
+    return started
 
 
-LEAVES = st.one_of(
+LEAF_VALUES = st.one_of(
     st.none(),
     st.booleans(),
     st.integers(-3, 5),
@@ -131,13 +133,13 @@
     st.binary(max_size=3),
     st.floats(),
 )
-SCRAPS = st.recursive(LEAVES, lambda inner: st.lists(inner, max_size=8))
+NESTED_VALUES = st.recursive(LEAF_VALUES, lambda inner: st.lists(inner, max_size=8))
 PAYLOADS = st.one_of(
-    SCRAPS,
+    NESTED_VALUES,
     st.builds(
         lambda kind, rest: [kind, *rest],
         st.sampled_from([1, 2, 3, 4]),
-        st.lists(SCRAPS, min_size=2, max_size=9),
+        st.lists(NESTED_VALUES, min_size=2, max_size=9),
     ),
 )
 
@@ -145,7 +147,7 @@
 @settings(max_examples=40)
 @given(st.lists(PAYLOADS, max_size=12))
 def test_malformed_payloads_are_counted_and_change_nothing(payloads: list[Any]) -> None:
-    router = node()
+    router = started_node()
     for number, payload in enumerate(payloads):
         router.step(0.01 * number, [PayloadReceived(payload)])
     assert router.view.members == ("n1",)
@@ -168,14 +170,14 @@
 
 
 def test_a_vote_counts_only_from_the_current_process_of_a_member() -> None:
-    one = node()
+    router = started_node()
     other = Fact("n2", ("127.0.0.1", 7947), 9, 0, State.ALIVE)
-    one.step(1.0, [PayloadReceived([1, pack_message(Message(Kind.GOSSIP, other))])])
-    ask = Vote(VoteKind.REQUEST, "nightly", 3, 1)
-    fields = [int(ask.kind), ask.lease, ask.ballot, ask.request_number]
+    router.step(1.0, [PayloadReceived([1, pack_message(Message(Kind.GOSSIP, other))])])
+    request = Vote(VoteKind.REQUEST, "nightly", 3, 1)
+    fields = [int(request.kind), request.lease, request.ballot, request.request_number]
 
     def answers(instance: int) -> list[tuple[str, int]]:
-        effects = one.step(10.0, [PayloadReceived([2, "n2", instance, fields])])
+        effects = router.step(10.0, [PayloadReceived([2, "n2", instance, fields])])
         votes = [e for e in effects if isinstance(e, Datagram) and e.payload[0] == 2]
         return [vote.to for vote in votes if vote.payload[3][0] in (2, 3)]
 
@@ -183,7 +185,7 @@
 
 
 def test_a_late_tick_is_followed_by_another_wake() -> None:
-    router, now = node(), 0.0
+    router, now = started_node(), 0.0
     for _ in range(200):
         wakes = [effect.at for effect in router.step(now, [Tick()]) if isinstance(effect, Wake)]
         assert wakes and wakes[-1] >= now - 1e-9
--- a/tests/test_peers_duties.py
+++ b/tests/test_peers_duties.py
@@ -1,4 +1,4 @@
-"""Reports of duties over real connections, the tasks that send them, and the rate limit of the event log."""
+"""Tests of duty reports over real connections, the tasks that send them, and the event log's rate limit."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Receiver:
-    """Where a duty takes effect: answers each report with the same line, and keeps the requests."""
+    """A receiver of duty reports that answers each report with the same line and records the requests."""
 
     def __init__(self, answer: bytes) -> None:
         self.answer = answer
@@ -29,12 +29,12 @@
         self.open_connections += 1
         self.requests.append(await reader.readline())
         writer.write(self.answer)
-        await reader.read()  # until the client closes
+        await reader.read()  # The client closes the connection.
         writer.close()
         self.open_connections -= 1
 
 
-def with_receiver(answer: bytes, test: Callable[[Duty, Receiver], Awaitable[None]]) -> None:
+def run_with_receiver(answer: bytes, test: Callable[[Duty, Receiver], Awaitable[None]]) -> None:
     async def run() -> None:
         receiver = Receiver(answer)
         server = await asyncio.start_server(receiver.serve, "127.0.0.1", 0)
@@ -56,7 +56,7 @@
         while receiver.open_connections:
             await asyncio.sleep(0.01)
 
-    with_receiver(answer, test)
+    run_with_receiver(answer, test)
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,7 @@
         with pytest.raises(DutyAnswerError):
             await report(duty, TOKEN)
 
-    with_receiver(answer, test)
+    run_with_receiver(answer, test)
 
 
 def test_a_duty_is_reported_until_its_token_is_gone_or_it_is_closed(
@@ -84,7 +84,7 @@
         while len(rejections) < 3:
             await asyncio.sleep(0.01)
         assert set(rejections) == {("nightly", Token(9, "n2"))}
-        tasks.start("nightly")  # replaces the first task
+        tasks.start("nightly")  # The new task replaces the first one.
         del tokens["nightly"]
         await asyncio.sleep(0.05)
         done = len(receiver.requests)
@@ -96,7 +96,7 @@
         assert asyncio.all_tasks() - {asyncio.current_task()} <= _server_tasks()
         await tasks.close()
 
-    with_receiver(b"NAK 9 n2\n", test)
+    run_with_receiver(b"NAK 9 n2\n", test)
     first = json.loads(capsys.readouterr().out.splitlines()[0])
     expected = {"event": "peers.duty.rejected", "duty": "nightly", "ballot": 7, "highest_ballot": 9}
     assert first == expected
@@ -114,7 +114,7 @@
             await asyncio.sleep(0.01)
         await tasks.close()
 
-    with_receiver(b"what\n", test)
+    run_with_receiver(b"what\n", test)
     first = json.loads(capsys.readouterr().out.splitlines()[0])
     reason = "invalid answer: b'what\\n'"
     assert first == {"event": "peers.duty.failed", "duty": "nightly", "reason": reason}
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""The replica store: copies converge, records of routers that are gone expire, and limits hold."""
+"""Tests of the replica store: copies converge, records of stopped routers expire, and limits are kept."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 RECORDS = st.builds(Record, VERSIONS, st.floats(0, 9), ENTRIES)
 
 
-def joined(*records: Record) -> Record:
+def join_all(*records: Record) -> Record:
     result = Record()
     for record in records:
         result.join(record)
@@ -52,47 +52,52 @@
 
 @given(RECORDS, RECORDS, RECORDS)
 def test_join_is_commutative_associative_and_idempotent(a: Record, b: Record, c: Record) -> None:
-    assert joined(a, b, c) == joined(c, joined(b, a), a, b)
+    assert join_all(a, b, c) == join_all(c, join_all(b, a), a, b)
 
 
-class Net:
-    """Stores on one simulated clock; the network between them follows a seed and the test."""
+class SimulatedNetwork:
+    """Stores on one simulated clock. A seed and the test determine the faults of the network between them."""
 
-    def __init__(self, seed: int, n: int, limits: Limits = LIMITS) -> None:
+    def __init__(self, seed: int, size: int, limits: Limits = LIMITS) -> None:
         self.rng, self.now, self.limits, self.numbers = Random(seed), 100.0, limits, count()
-        self.loss, self.side = 0.0, [0] * n
+        self.loss, self.partition_of = 0.0, [0] * size
         self.stores: dict[int, Store] = {}
         self.queue: list[tuple[float, int, int, Any]] = []
-        self.published: list[dict[str, bytes]] = [{} for _ in range(n)]  # by each, as a model
+        # What each router publishes, as the expected state.
+        self.published: list[dict[str, bytes]] = [{} for _ in range(size)]
         self.sent = 0
-        for m in range(n):
-            self.start(m)
+        for router in range(size):
+            self.start(router)
 
-    def start(self, m: int) -> None:
-        self.stores[m] = Store(f"n{m}", self.limits, Random(self.rng.random()), self.now)
-        self.published[m] = {}
-        heappush(self.queue, (self.now, next(self.numbers), m, Woken()))
+    def start(self, router: int) -> None:
+        self.stores[router] = Store(f"n{router}", self.limits, Random(self.rng.random()), self.now)
+        self.published[router] = {}
+        heappush(self.queue, (self.now, next(self.numbers), router, Woken()))
 
-    def put(self, m: int, key: str, value: bytes | None) -> None:
-        self.stores[m].publish(self.now, key, value)
+    def publish(self, router: int, key: str, value: bytes | None) -> None:
+        self.stores[router].publish(self.now, key, value)
         if value is None:
-            self.published[m].pop(key, None)
+            self.published[router].pop(key, None)
         else:
-            self.published[m][key] = value
+            self.published[router][key] = value
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
         while self.queue and self.queue[0][0] <= until:
-            self.now, _, m, event = heappop(self.queue)
-            store = self.stores.get(m)
+            self.now, _, router, event = heappop(self.queue)
+            store = self.stores.get(router)
             if store is None:
                 continue
             versions = {origin: record.version for origin, record in store.records.items()}
-            reachable = tuple(f"n{o}" for o in self.stores if o != m and self.side[o] == self.side[m])
+            reachable = tuple(
+                f"n{other}"
+                for other in self.stores
+                if other != router and self.partition_of[other] == self.partition_of[router]
+            )
             for effect in store.step(self.now, [ReachableMembers(reachable), event]):
                 if isinstance(effect, Send):
                     self.sent += 1
-                    self.forward(m, int(effect.to[1:]), effect.message)
+                    self.send(router, int(effect.to[1:]), effect.message)
             assert all(
                 store.records[origin].version >= version
                 for origin, version in versions.items()
@@ -100,18 +105,22 @@
             )
             if isinstance(event, Woken):
                 heappush(
-                    self.queue, (max(store.next_wake_at, self.now + 1e-3), next(self.numbers), m, Woken())
+                    self.queue,
+                    (max(store.next_wake_at, self.now + 1e-3), next(self.numbers), router, Woken()),
                 )
         self.now = until
 
-    def forward(self, a: int, b: int, message: Digest | Delta) -> None:
-        for _ in range(1 + (self.rng.random() < 0.2)):  # some are duplicated, and the order changes
-            if self.side[a] == self.side[b] and self.rng.random() >= self.loss:
+    def send(self, sender: int, receiver: int, message: Digest | Delta) -> None:
+        # Some messages are duplicated, and their order changes.
+        for _ in range(1 + (self.rng.random() < 0.2)):
+            if self.partition_of[sender] == self.partition_of[receiver] and self.rng.random() >= self.loss:
                 at = self.now + self.rng.uniform(0.001, 0.3)
-                heappush(self.queue, (at, next(self.numbers), b, MessageReceived(f"n{a}", message)))
+                heappush(
+                    self.queue, (at, next(self.numbers), receiver, MessageReceived(f"n{sender}", message))
+                )
 
     def converged(self) -> bool:
-        """Whether each holds what each publishes, and nothing else."""
+        """Whether each router holds what all routers publish, and nothing else."""
 
         def values(store: Store, origin: str) -> dict[str, bytes]:
             record = store.records.get(origin, Record())
@@ -122,54 +131,56 @@
             }
 
         return all(
-            values(store, f"n{m}") == self.published[m] for store in self.stores.values() for m in self.stores
+            values(store, f"n{router}") == self.published[router]
+            for store in self.stores.values()
+            for router in self.stores
         ) and not any(
             int(origin[1:]) not in self.stores for store in self.stores.values() for origin in store.records
         )
 
-    def until_converged(self, most: float) -> float:
+    def run_until_converged(self, max_seconds: float) -> float:
         began = self.now
         while not self.converged():
-            assert self.now - began < most, f"not converged within {most} s"
+            assert self.now - began < max_seconds, f"not converged within {max_seconds} s"
             self.run(0.25)
         return self.now - began
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_copies_converge_after_loss_partitions_and_restarts(seed: int) -> None:
-    net = Net(seed, 3 + seed % 6)
+    network = SimulatedNetwork(seed, 3 + seed % 6)
     for _ in range(60):
-        m = net.rng.choice(sorted(net.stores))
-        key = f"k{net.rng.randrange(6)}"
-        match net.rng.randrange(8):
+        router = network.rng.choice(sorted(network.stores))
+        key = f"k{network.rng.randrange(6)}"
+        match network.rng.randrange(8):
             case 0 | 1 | 2:
-                net.put(m, key, net.rng.randbytes(net.rng.choice([1, 20, 500])))
+                network.publish(router, key, network.rng.randbytes(network.rng.choice([1, 20, 500])))
             case 3:
-                net.put(m, key, None)
+                network.publish(router, key, None)
             case 4:
-                net.start(m)  # a new process of the same name, without state
+                network.start(router)  # A new process of the same name starts without state.
             case 5:
-                net.side = [net.rng.randrange(3) for _ in net.side]
+                network.partition_of = [network.rng.randrange(3) for _ in network.partition_of]
             case 6:
-                net.side = [0] * len(net.side)
+                network.partition_of = [0] * len(network.partition_of)
             case 7:
-                net.loss = net.rng.choice([0.0, 0.3])
-        net.run(net.rng.uniform(0.0, 2.0))
-    net.side, net.loss = [0] * len(net.side), 0.0
-    net.until_converged(30.0)
+                network.loss = network.rng.choice([0.0, 0.3])
+        network.run(network.rng.uniform(0.0, 2.0))
+    network.partition_of, network.loss = [0] * len(network.partition_of), 0.0
+    network.run_until_converged(30.0)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_record_of_a_router_that_is_gone_expires_everywhere_for_good(seed: int) -> None:
-    net = Net(seed, 6)
-    for m in range(6):
-        net.put(m, "k", b"v")
-    net.until_converged(20.0)
-    del net.stores[3]
-    net.run(LIMITS.ttl + 2 * LIMITS.exchange_interval + 1.0)
-    assert not any("n3" in store.records for store in net.stores.values())
-    net.run(10.0)
-    assert net.converged()
+def test_the_record_of_a_stopped_router_expires_at_all_routers(seed: int) -> None:
+    network = SimulatedNetwork(seed, 6)
+    for router in range(6):
+        network.publish(router, "k", b"v")
+    network.run_until_converged(20.0)
+    del network.stores[3]
+    network.run(LIMITS.ttl + 2 * LIMITS.exchange_interval + 1.0)
+    assert not any("n3" in store.records for store in network.stores.values())
+    network.run(10.0)
+    assert network.converged()
 
 
 def test_a_delta_as_old_as_the_ttl_is_rejected() -> None:
@@ -187,14 +198,14 @@
     assert "n1" not in store.records
 
 
-@pytest.mark.parametrize("n", [2, 20, 100])
-def test_large_records_and_large_fleets_are_exchanged_in_parts(n: int) -> None:
-    net = Net(1, n)
-    for key in range(12 if n < 100 else 1):
-        net.put(0, f"k{key}", bytes(500))
-    for m in range(n):
-        net.put(m, "k", b"%d" % m)
-    net.until_converged(60.0)
+@pytest.mark.parametrize("size", [2, 20, 100])
+def test_large_records_and_large_fleets_are_exchanged_in_several_packets(size: int) -> None:
+    network = SimulatedNetwork(1, size)
+    for key in range(12 if size < 100 else 1):
+        network.publish(0, f"k{key}", bytes(500))
+    for router in range(size):
+        network.publish(router, "k", b"%d" % router)
+    network.run_until_converged(60.0)
 
 
 DELTAS = st.tuples(
@@ -229,7 +240,7 @@
     assert store.records["n0"].entries.keys() <= {"mine", ""}
 
 
-def test_bounds_of_keys_values_records_and_origins() -> None:
+def test_limits_of_keys_values_records_and_origins() -> None:
     limits = Limits(origins=4, keys=5, value=10, record=100)
     store = Store("n0", limits, Random(1), 0.0)
     for key, value in (("", b""), ("k" * 65, b""), ("k", b"x" * 11)):
@@ -251,10 +262,10 @@
     assert len(store.records) == 4 and store.rejected == 2 + 5
 
 
-def test_tombstones_are_removed_in_time() -> None:
-    net = Net(1, 3)
+def test_tombstones_are_removed_after_their_lifetime() -> None:
+    network = SimulatedNetwork(1, 3)
     for n in range(400):
-        net.put(0, f"k{n}", b"x")
-        net.put(0, f"k{n}", None)
-        net.run(0.5)
-    assert max(len(store.records["n0"].entries) for store in net.stores.values()) < 100
+        network.publish(0, f"k{n}", b"x")
+        network.publish(0, f"k{n}", None)
+        network.run(0.5)
+    assert max(len(store.records["n0"].entries) for store in network.stores.values()) < 100
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -1,4 +1,4 @@
-"""Shapes of statements: what they leave out, what they keep apart, and what cannot be read."""
+"""Tests of statement shapes: which statements share a shape, which do not, and which have none."""
 
 from __future__ import annotations
 
@@ -37,42 +37,42 @@
     )
 
 
-PARTS = st.tuples(
+STRUCTURES = st.tuples(
     st.sampled_from(TABLES),
     st.none() | st.sampled_from(TABLES),
     st.sampled_from([("t.k",), ("t.k", "count(*)"), ("t.k", "sum(t.n)"), ("t.k", "t.n")]),
     st.booleans(),
 )
-FILLING = st.tuples(
+LITERAL_SETS = st.tuples(
     LITERALS, st.lists(LITERALS, min_size=1, max_size=9), st.integers(0, 999), st.integers(0, 10**6)
 )
 
 
-def fill(
-    parts: tuple[str, str | None, tuple[str, ...], bool], filling: tuple[str, list[str], int, int]
+def render(
+    structure: tuple[str, str | None, tuple[str, ...], bool], literals: tuple[str, list[str], int, int]
 ) -> bytes:
-    table, joined, columns, grouped = parts
-    value, values, group, limit = filling
+    table, joined, columns, grouped = structure
+    value, values, group, limit = literals
     return statement(table, joined, columns, value, values, group, grouped, limit).encode()
 
 
-@given(parts=PARTS, one=FILLING, other=FILLING)
+@given(structure=STRUCTURES, one=LITERAL_SETS, other=LITERAL_SETS)
 def test_statements_that_differ_in_literals_and_group_share_a_shape(
-    parts: tuple[str, str | None, tuple[str, ...], bool],
+    structure: tuple[str, str | None, tuple[str, ...], bool],
     one: tuple[str, list[str], int, int],
     other: tuple[str, list[str], int, int],
 ) -> None:
-    assert shape_of(fill(parts, one)) is not None
-    assert shape_of(fill(parts, one)).digest == shape_of(fill(parts, other)).digest  # type: ignore[union-attr]
+    assert shape_of(render(structure, one)) is not None
+    assert shape_of(render(structure, one)).digest == shape_of(render(structure, other)).digest  # type: ignore[union-attr]
 
 
-@given(one=PARTS, other=PARTS, filling=FILLING)
-def test_statements_that_differ_in_a_table_a_join_or_an_aggregate_do_not(
+@given(one=STRUCTURES, other=STRUCTURES, literals=LITERAL_SETS)
+def test_statements_that_differ_in_a_table_a_join_or_an_aggregate_have_different_shapes(
     one: tuple[str, str | None, tuple[str, ...], bool],
     other: tuple[str, str | None, tuple[str, ...], bool],
-    filling: tuple[str, list[str], int, int],
+    literals: tuple[str, list[str], int, int],
 ) -> None:
-    first, second = shape_of(fill(one, filling)), shape_of(fill(other, filling))
+    first, second = shape_of(render(one, literals)), shape_of(render(other, literals))
     assert first and second and (first.digest == second.digest) is (one == other)
 
 
@@ -89,7 +89,7 @@
         ('SELECT "a" FROM t', "SELECT a FROM t"),
     ],
 )
-def test_these_share_a_shape(one: str, other: str) -> None:
+def test_equivalent_statements_share_a_shape(one: str, other: str) -> None:
     first, second = shape_of(one.encode()), shape_of(other.encode())
     assert first and second and first.text == second.text
 
@@ -105,12 +105,12 @@
         ("SELECT a::text FROM t", "SELECT a FROM t"),
     ],
 )
-def test_these_do_not(one: str, other: str) -> None:
+def test_similar_statements_have_different_shapes(one: str, other: str) -> None:
     first, second = shape_of(one.encode()), shape_of(other.encode())
     assert first and second and first.text != second.text
 
 
-def test_the_numbers_are_kept_in_order_and_no_more_than_some() -> None:
+def test_the_first_numbers_are_kept_in_order() -> None:
     shape = shape_of(b"SELECT a FROM ops_17.t WHERE b = -5 AND c = 2.5 LIMIT 10")
     assert shape and shape.numbers == (17.0, -5.0, 2.5, 10.0)
     many = shape_of(b"SELECT " + b"1," * 500 + b"1")
@@ -118,13 +118,13 @@
 
 
 @given(st.binary(max_size=400))
-def test_no_bytes_are_too_odd_to_be_read(statement: bytes) -> None:
+def test_any_bytes_can_be_scanned(statement: bytes) -> None:
     first, again = shape_of(statement), shape_of(statement)
     assert first == again
 
 
 @pytest.mark.parametrize("statement", [b"", b" ; ", b"-- nothing", b"x" * (MAX_SCANNED_BYTES + 1)])
-def test_what_holds_nothing_or_too_much_has_no_shape(statement: bytes) -> None:
+def test_empty_and_overlong_statements_have_no_shape(statement: bytes) -> None:
     assert shape_of(statement) is None
 
 
@@ -143,7 +143,8 @@
         b"\xff" * MAX_SCANNED_BYTES,
     ],
 )
-def test_the_worst_statement_is_read_in_bounded_time(statement: bytes) -> None:
+def test_the_worst_statements_are_scanned_in_bounded_time(statement: bytes) -> None:
     began = time.process_time()
     shape_of(statement)
-    assert time.process_time() - began < 0.25  # some 10 ms here; a backtracking pattern would take minutes
+    # About 10 ms are usual; a backtracking pattern would take minutes.
+    assert time.process_time() - began < 0.25
