--- a/tests/test_change_log_delays.py
+++ b/tests/test_change_log_delays.py
@@ -29,7 +29,7 @@
                 ADDRESS,
             )
         ]
-        self.now, self.latency, self.number, self.runs = 0.0, latency, 0, 0
+        self.now, self.latency, self.client_number, self.runs = 0.0, latency, 0, 0
         self.log: list[ChangeLogUpdate] = []  # the events of the change log
         # Events that are on their way to the router, with their times of arrival.
         self.in_transit: list[tuple[float, list[ChangeLogUpdate]]] = []
@@ -62,20 +62,27 @@
         while self.now < until:
             self.now += 0.01
             reported: list[events.Event] = [events.Woken()]
-            for at, newer in [answer for answer in self.in_transit if answer[0] <= self.now]:
+            for arrives_at, newer in [sent for sent in self.in_transit if sent[0] <= self.now]:
                 reported += [events.ChangeLogReceived(update) for update in newer]
-                self.in_transit.remove((at, newer))
+                self.in_transit.remove((arrives_at, newer))
             if frames and round(self.now * 100) % 100 == 0:
                 reported.append(
                     events.ChangeLogReceived(ChangeLogUpdate(self.log[-1].seq if self.log else 1))
                 )
             if round(self.now * 100) % 2 == 0:
-                self.number += 1
+                self.client_number += 1
                 reported += [
-                    events.ClientOpened(self.number),
+                    events.ClientOpened(self.client_number),
                     events.ClientMessageReceived(
-                        self.number,
-                        Call(self.number, f"{self.number:016x}", "lookup", 0.4, b"", tenant="city"),
+                        self.client_number,
+                        Call(
+                            self.client_number,
+                            f"{self.client_number:016x}",
+                            "lookup",
+                            0.4,
+                            b"",
+                            tenant="city",
+                        ),
                     ),
                 ]
             self.carry_out(self.router.step(self.now, reported))
@@ -159,17 +166,19 @@
 def test_a_start_accepts_no_clients_before_it_received_what_was_written_meanwhile() -> None:
     followed = FollowedChangeLog(latency=follower.FIRST_EVENT_TIMEOUT / 2)
     followed.drain_engine()  # written after the configuration was made and before the router subscribes
-    followed.in_transit = [(at, [ChangeLogUpdate(1), *followed.log]) for at, _ in followed.in_transit]
+    followed.in_transit = [
+        (arrives_at, [ChangeLogUpdate(1), *followed.log]) for arrives_at, _ in followed.in_transit
+    ]
     listening = [followed.router.step(0.01, [])]
     for step in range(2, 20):
         followed.now = step / 100
         received = [
             events.ChangeLogReceived(update)
-            for at, newer in followed.in_transit
-            if at <= followed.now
+            for arrives_at, newer in followed.in_transit
+            if arrives_at <= followed.now
             for update in newer
         ]
-        followed.in_transit = [answer for answer in followed.in_transit if answer[0] > followed.now]
+        followed.in_transit = [sent for sent in followed.in_transit if sent[0] > followed.now]
         listening.append(followed.router.step(followed.now, received))
         if events.StartListening() in listening[-1]:
             break
--- a/tests/test_events_in_one_step.py
+++ b/tests/test_events_in_one_step.py
@@ -43,9 +43,9 @@
 
 
 def list_event(state: api.EngineState, seq: int = 1) -> messages.ChangeLogUpdate:
-    how = api.ListKind.FULL if seq == 1 else api.ListKind.CHANGES
+    list_kind = api.ListKind.FULL if seq == 1 else api.ListKind.CHANGES
     entry = api.Engine(ENGINE, "typ-a", "room-1", state=state)
-    return messages.ChangeLogUpdate(seq, api.EngineList(how, (entry,), seq), ADDRESS)
+    return messages.ChangeLogUpdate(seq, api.EngineList(list_kind, (entry,), seq), ADDRESS)
 
 
 def only_link(router: Router) -> int:
--- a/tests/test_late_decisions.py
+++ b/tests/test_late_decisions.py
@@ -27,8 +27,10 @@
 
 
 def call(number: int, **changes: Any) -> messages.Call:
-    first = messages.Call(number, f"{number:016x}", "lookup", CLIENT_TIMEOUT, b"x", tenant="city", work=0.005)
-    return replace(first, **changes)
+    first_call = messages.Call(
+        number, f"{number:016x}", "lookup", CLIENT_TIMEOUT, b"x", tenant="city", work=0.005
+    )
+    return replace(first_call, **changes)
 
 
 def serving_router(*, marks_retries: bool = True) -> Router:
@@ -38,7 +40,7 @@
         [messages.ChangeLogUpdate(1, engine_list, ADDRESS)], {"settings.clients.marksRetry": marks_retries}
     )
     settings = options.settings
-    lookup = next(cls for cls in settings.classes if cls.name == "lookup")
+    lookup = next(query_class for query_class in settings.classes if query_class.name == "lookup")
     assert lookup.late_weight_factor == 0.0 and settings.clients_mark_retries is marks_retries
     assert lookup.deadline - CLIENT_TIMEOUT + LATENESS > lookup.latency_objective
     router = Router(options, now=0.0)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -307,23 +307,24 @@
 
     @rule(
         engine=st.sampled_from(ENGINES),
-        whole=st.booleans(),
+        full_list=st.booleans(),
         state=st.sampled_from([*[api.EngineState.UP] * 5, *api.EngineState]),
     )
-    def engine_list_changes(self, engine: str, state: api.EngineState, whole: bool) -> None:
+    def engine_list_changes(self, engine: str, state: api.EngineState, full_list: bool) -> None:
         if engine in self.disabled and state is api.EngineState.GONE:
             return
         self.seq += 1
         self.listed[engine] = state
-        named = ENGINES if whole else (engine,)
+        listed_engines = ENGINES if full_list else (engine,)
         entries = tuple(
-            api.Engine(name, "medium", cell=ENGINES.index(name), state=self.listed[name]) for name in named
+            api.Engine(name, "medium", cell=ENGINES.index(name), state=self.listed[name])
+            for name in listed_engines
         )
-        how = api.ListKind.FULL if whole else api.ListKind.CHANGES
-        addresses = {name: self.addresses()[name] for name in named}
+        list_kind = api.ListKind.FULL if full_list else api.ListKind.CHANGES
+        addresses = {name: self.addresses()[name] for name in listed_engines}
         self.step(
             events.ChangeLogReceived(
-                messages.ChangeLogUpdate(self.seq, api.EngineList(how, entries, self.seq), addresses)
+                messages.ChangeLogUpdate(self.seq, api.EngineList(list_kind, entries, self.seq), addresses)
             )
         )
 
