--- a/grebeproxy/config.py
+++ b/grebeproxy/config.py
@@ -52,7 +52,7 @@
     known: KnownEvents  # the change log's events up to the start of the router
     settings: Settings
     limits: WireLimits
-    admin: Address | None = None  # of the admin endpoint
+    admin: Address | None = None  # address of the admin endpoint
     listen_fd: int | None = None  # the descriptor of a listening socket that the platform holds
     folder: Path | None = None  # shared by the processes of this router
     peers_file: str | None = None  # the operator file of routers that know each other
--- a/grebeproxy/net/manual_overrides.py
+++ b/grebeproxy/net/manual_overrides.py
@@ -19,7 +19,7 @@
 
 MAX_DISABLED = 1024  # engines disabled at once
 MAX_ENABLED = 64  # re-enabled engines whose calls are kept, so that other processes learn of them
-VERSION = 1  # of the encoding
+VERSION = 1  # version of the encoding
 DIGEST_BYTES = 16
 
 # By engine: the number of its latest call, and whether the call disabled the engine.
--- a/grebeproxy/net/msgpack_rpc.py
+++ b/grebeproxy/net/msgpack_rpc.py
@@ -47,10 +47,10 @@
     """
 
     def __init__(self, settings: Settings) -> None:
-        self._idempotency: dict[str, Idempotency] = {}  # by name of each class that can be decoded
-        self._current_idempotency: dict[
-            str, Idempotency
-        ] = {}  # by name of each class in the current settings
+        # All classes that can be decoded, by name.
+        self._idempotency: dict[str, Idempotency] = {}
+        # The classes of the current settings, by name.
+        self._current_idempotency: dict[str, Idempotency] = {}
         self.apply_settings(settings)
         self._buffer = bytearray()
         self._framer = MessageFramer()
--- a/grebeproxy/net/resp.py
+++ b/grebeproxy/net/resp.py
@@ -24,9 +24,9 @@
 
 CRLF = b"\r\n"
 ANSWER_HEADER = b"*4"  # an array of four bulk strings
-MAX_HEADER_BYTES = 16  # of a line that holds a length, including its line end
+MAX_HEADER_BYTES = 16  # limit for a line that holds a length, including its line end
 MAX_PART_BYTES = (64, 16, 1024, 6000)  # limits for an answer's id, word, fields and page
-MAX_PAGES = 64  # in one result; above the 8 pages that a result has
+MAX_PAGES = 64  # limit for one result, above the 8 pages that a result has
 NO_FIELDS = b"-"
 ANSWER_KINDS = {
     b"ok": AnswerKind.OK,
--- a/grebeproxy/settings/fields.py
+++ b/grebeproxy/settings/fields.py
@@ -30,10 +30,10 @@
     """Properties of the engines. Lists hold one value for each category or for each kind of engine."""
 
     dop: list[int]  # degree of parallelism in threads, by category
-    holdsTables: list[bool]  # by category
-    yieldsToLoads: list[bool]  # by category
+    holdsTables: list[bool]  # whether queries lock their data set, by category
+    yieldsToLoads: list[bool]  # whether queries wait for loads, by category
     cpuOfKind: list[float]  # cores, by kind of engine
-    kindMemoryMb: list[float]  # by kind of engine
+    kindMemoryMb: list[float]  # memory by kind of engine
     memoryHeeded: bool
     largestShare: float
     overbooked: str
