--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -100,9 +100,11 @@
 
 
 @pytest.mark.parametrize(("engines", "cls", "work"), [(1, "short", 0.1), (FLEET, "long", 0.25)])
-def test_a_warming_engine_gets_its_part_from_all_and_no_more(engines: int, cls: str, work: float) -> None:
-    # All that the fleet can do in two windows of the budget is asked for at once; nothing else is open.
-    sent, asked = 0.0, 2.0 * 8.0 * engines
+def test_a_warming_engine_gets_no_more_than_its_budget_from_all_routers(
+    engines: int, cls: str, work: float
+) -> None:
+    # The work of the whole fleet in two windows of the budget is requested at once. Only e0 accepts queries.
+    sent, requested = 0.0, 2.0 * 8.0 * engines
     for index in range(200):
         harness = RouterHarness(make_settings(balancers=200, index=index), engines=0)
         cold = Engine("e0", "medium", started=99.0)
@@ -110,11 +112,13 @@
         harness.choice.typical_work, harness.choice.class_counts = [work] * 3, [50] * 3
         for name, engine_record in harness.choice.engines.items():
             engine_record.closed_until = harness.now + 100.0 if name != "e0" else 0.0
-        for number in range(max(1, round(asked / work / 200))):
+        for number in range(max(1, round(requested / work / 200))):
             sent += work * len(sends(harness.submit(cls, wait=20.0, work=work, id=f"{index}-{number}")))
         for _ in range(9):
-            sent += work * len(sends(harness.sweep(harness.now + 0.1)))  # over the window of the budget
-    assert 0.5 < sent <= 2.0 * 0.37 * 8.0 * 1.0  # twice what it can do at the window's begin
+            sent += work * len(
+                sends(harness.sweep(harness.now + 0.1))
+            )  # The sweeps cover the window of the budget.
+    assert 0.5 < sent <= 2.0 * 0.37 * 8.0 * 1.0  # twice its capacity when the window begins
 
 
 def test_a_router_that_just_started_sends_nothing_to_a_warming_engine() -> None:
@@ -124,16 +128,16 @@
     assert not sends(harness.submit(work=0.05))
 
 
-def test_chance_arrivals_within_a_small_quota_are_not_over_it() -> None:
+def test_random_arrivals_within_a_small_quota_are_not_over_quota() -> None:
     harness = RouterHarness(
         make_settings(balancers=100, tenants=(Tenant("a", 100.0),), over_quota_weight=0.05)
     )
     for i in range(3):
         harness.submit(work=0.1, tenant="a", id=f"a{i}")
-    assert not any(job.over_quota for job in harness.choice.queries.values())
+    assert not any(query.over_quota for query in harness.choice.queries.values())
 
 
-def test_what_comes_back_too_late_for_a_sweep_is_answered_at_once() -> None:
+def test_a_failed_attempt_too_late_for_another_sweep_is_answered_at_once() -> None:
     harness = RouterHarness(make_settings(classes=(SHORT, LONG)), engines=3)
     [send] = sends(harness.submit(work=0.05, wait=4.0))
     harness.now += 3.8
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -184,22 +184,25 @@
     harness = harness_of(5)
     choice, before = harness.choice, subset(harness)
     order = choice.rings[0].window(choice.positions.own, 0, ENGINES)
-    bad = set(order[: MIN_WINDOW * 3 // 4])
-    make_unreliable(harness, bad, way)
+    unreliable = set(order[: MIN_WINDOW * 3 // 4])
+    make_unreliable(harness, unreliable, way)
     for _ in range(4):
         [send] = sends(harness.submit(work=0.1))
-        assert send.engine not in bad or way == "cold"
+        assert send.engine not in unreliable or way == "cold"
         harness.end_attempt(send, Outcome.OK, 0.1)
-    wider = {engine for engine, engine_record in choice.engines.items() if engine_record.in_subset}
-    assert wider == set(order[: len(wider)]) and MIN_WINDOW < len(wider) <= (1 + MAX_EXTENSION) * MIN_WINDOW
-    assert len(wider - bad) >= MIN_WINDOW / 2
+    extended = {engine for engine, engine_record in choice.engines.items() if engine_record.in_subset}
+    assert (
+        extended == set(order[: len(extended)])
+        and MIN_WINDOW < len(extended) <= (1 + MAX_EXTENSION) * MIN_WINDOW
+    )
+    assert len(extended - unreliable) >= MIN_WINDOW / 2
     if way == "by hand":
         harness.handle(ManualOverridesChanged(frozenset()))
-        harness.now += 60.0  # engines that operators give back warm up first
+        harness.now += 60.0  # Engines that operators enable again warm up first.
     elif way == "cold":
         harness.now += 60.0
     else:
-        for name in bad:
+        for name in unreliable:
             choice.engines[name].ejected_at = None
     for _ in range(8):
         [send] = sends(harness.submit(work=0.1))
