--- a/grebeproxy/lab/__init__.py
+++ b/grebeproxy/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the project at the size that the fleet grows to; the product never imports this package."""
+"""Measurements of the project at the expected fleet size; the product never imports this package."""
--- a/grebeproxy/lab/cli.py
+++ b/grebeproxy/lab/cli.py
@@ -1,4 +1,4 @@
-"""What the lab's commands share: lists of sizes, usage errors on one line, and the recorded command line."""
+"""Shared parts of the lab's commands: lists of sizes, one-line usage errors, the recorded command line."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SizeList(click.ParamType[tuple[int, ...]]):
-    """Whole numbers at or above ``minimum``, separated by commas."""
+    """A command line value of whole numbers, each at least ``minimum``, separated by commas."""
 
     name = "N,N,..."
 
@@ -18,7 +18,7 @@
     def convert(
         self, value: object, param: click.Parameter | None, ctx: click.Context | None
     ) -> tuple[int, ...]:
-        """Parse the text; a default that is a tuple already is returned as it is."""
+        """Parse the text; a default that is already a tuple is returned unchanged."""
         if isinstance(value, tuple):
             return value
         try:
@@ -35,7 +35,7 @@
     """A command whose usage errors are printed on one line, without the usage text."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
-        """Parse and check the arguments; an error keeps its message but not the context that shows usage."""
+        """Parse and check the arguments; an error is raised again without the context that shows usage."""
         try:
             remaining = super().parse_args(ctx, args)
             if not ctx.resilient_parsing:
@@ -45,7 +45,7 @@
         return remaining
 
     def check_arguments(self, ctx: click.Context) -> None:
-        """Check what depends on several options. Raises ``click.UsageError``; by default accepts all."""
+        """Check conditions between options; the default accepts all. Raises ``click.UsageError``."""
 
 
 def invocation() -> str:
--- a/grebeproxy/lab/record.py
+++ b/grebeproxy/lab/record.py
@@ -1,4 +1,4 @@
-"""Recorded measurements: what was run, on which machine, and the raw points.
+"""Recorded measurements, with the command, the commit, the machine and the raw points.
 
 A record is one JSON file in ``docs/capacity``. Units are part of a value's name (``cpu_us``, ``bytes``).
 """
@@ -22,7 +22,7 @@
 
 
 class RecordError(GrebeproxyError):
-    """A record that cannot be read; the text begins with the file's name."""
+    """A record cannot be read; the message begins with the file's name."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
 
 
 def record_now(name: str, command: str, seed: int, points: tuple[Point, ...], note: str = "") -> Record:
-    """A record of points that the checked out code has just measured on this machine."""
+    """Make a record of points that the checked-out code has just measured on this machine."""
     recorded_at = datetime.now(UTC).isoformat(timespec="seconds")
     return Record(name, command, current_commit(), recorded_at, Machine.this(), seed, points, note)
 
--- a/grebeproxy/lab/soak/change_log.py
+++ b/grebeproxy/lab/soak/change_log.py
@@ -4,11 +4,11 @@
 
 from grebeproxy.lab.scale.changelog_server import ChangeLog
 
-HALF_FRAME_BYTES = 5  # the length of a frame and one byte more
+HALF_FRAME_BYTES = 5  # bytes of a frame's length field and one byte of its content
 
 
 class FaultyChangeLog(ChangeLog):
-    """A change log with faults of its connections; new connections are served well."""
+    """A change log that can break its open connections; new connections work normally."""
 
     def silence_all(self) -> None:
         """Send nothing more on the open connections, and leave them open."""
--- a/grebeproxy/lab/soak/clients.py
+++ b/grebeproxy/lab/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of one router: they keep asking over open connections, and record what they are told."""
+"""Clients of one router, which send requests over open connections and record the answers."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 from grebeproxy.lab.soak.recording import Answer, Recording, Reply, Request
 
 REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2  # message types of MessagePack-RPC
-MAX_OPEN_REQUESTS = 32  # on one connection
+MAX_OPEN_REQUESTS = 32  # unanswered requests on one connection
 REJECTED_ERROR = "TryLater"
-RECONNECT_S = 0.05  # between two attempts to connect
-KEY_INTERVAL_S = 0.08  # between two writes of requests with one key
-NEW_CONNECTION_KEY_INTERVAL_S = 0.3  # the same after the first one on a new connection
-KEY_PAUSE_S = 0.4  # at most, beyond that
+RECONNECT_INTERVAL_S = 0.05  # time between two attempts to connect
+KEY_INTERVAL_S = 0.08  # shortest time between two requests with the same key
+NEW_CONNECTION_KEY_INTERVAL_S = 0.3  # shortest time between the first and second request on a new connection
+MAX_KEY_PAUSE_S = 0.4  # longest random time added to the interval between requests with the same key
 TABLE_GROUPS = 50
 CONNECT_TIMEOUT_S = 1.0
-LEAVES_EARLY = 0.02  # part of requests whose clients cancel them
-LEAVES_WITHIN_S = 0.3
-LIMIT_FRACTION = (0.7, 1.0)  # of a class's deadline, that a client waits
+CANCEL_FRACTION = 0.02  # fraction of requests that their clients cancel
+CANCEL_WITHIN_S = 0.3  # longest time from a request to its cancellation
+DEADLINE_FRACTION = (0.7, 1.0)  # A client waits for a fraction of its class's deadline in this range.
 
 
 @dataclass(frozen=True, slots=True)
 class ClientClass:
-    """How clients ask for one class. ``deadline`` in seconds, ``work`` in core-seconds."""
+    """A query class as clients request it. ``deadline`` is in seconds, ``work`` in core-seconds."""
 
     name: str
     deadline: float
@@ -49,7 +49,7 @@
         self._record = record
         self._unpacker = msgpack.Unpacker()
         self._transport: asyncio.Transport | None = None
-        self._requests: dict[int, Request] = {}  # all that were sent, by number
+        self._requests: dict[int, Request] = {}  # all requests sent on this connection, by number
 
     @property
     def is_open(self) -> bool:
@@ -58,20 +58,20 @@
 
     @property
     def open_requests(self) -> list[Request]:
-        """Requests that still wait for an answer."""
-        return [request for request in self._requests.values() if request.over_at is None]
+        """The requests that still wait for an answer."""
+        return [request for request in self._requests.values() if request.finished_at is None]
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Be ready to send."""
+        """Keep the transport, so that requests can be sent."""
         self._transport = cast(asyncio.Transport, transport)
 
     def eof_received(self) -> bool:
-        """The router has closed its side: a request without an answer gets none any more."""
+        """Mark the open requests as lost: the router has closed its side and will not answer them."""
         self._lose_requests()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Mark the open requests as lost, and drop the transport."""
         self._lose_requests()
         self._transport = None
 
@@ -85,18 +85,18 @@
         now = time.monotonic()
         if isinstance(message, list) and message[:1] == [RESPONSE] and message[1] in self._requests:
             _, number, error, result = message
-            self._requests[number].answers.append(Answer(now, _reply(error, result)))
+            self._requests[number].answers.append(Answer(now, _parse_reply(error, result)))
             return
         for request in self.open_requests:
             request.answers.append(Answer(now, Reply.UNREADABLE))
 
     def send(self, cls: ClientClass, rng: Random, key: str | None = None) -> Request | None:
-        """Send one request; ``None`` where the connection cannot take any."""
+        """Send one request; return ``None`` if the connection is closed or has too many open requests."""
         if not self.is_open or len(self.open_requests) >= MAX_OPEN_REQUESTS:
             return None
         assert self._transport is not None
         self.requests_sent += 1
-        limit = cls.deadline * rng.uniform(*LIMIT_FRACTION)
+        limit = cls.deadline * rng.uniform(*DEADLINE_FRACTION)
         txn = f"{rng.getrandbits(64):016x}"
         fields = {
             "txn": txn,
@@ -125,18 +125,18 @@
         return request
 
     def cancel(self, request: Request) -> None:
-        """Give a request up."""
-        if request.over_at is None and self.is_open and self._transport is not None:
+        """Cancel a request that is still open."""
+        if request.finished_at is None and self.is_open and self._transport is not None:
             self._transport.write(msgpack.packb([NOTIFICATION, "giveUp", [request.number]]))
             request.left_at = time.monotonic()
 
     def write_half_message(self) -> None:
-        """Write the beginning of a message, on a connection that sends nothing else any more."""
+        """Write only the beginning of a message; the caller sends nothing more on this connection."""
         if self._transport is not None:
             self._transport.write(msgpack.packb([REQUEST, 1, "lookup", [{}, b"x" * 100]])[:40])
 
     def close(self, *, reset: bool = False) -> None:
-        """Leave, with all that is open."""
+        """Close or reset the connection, and give up its open requests."""
         now = time.monotonic()
         for request in self.open_requests:
             request.left_at = now
@@ -152,7 +152,7 @@
             request.lost_at = now
 
 
-def _reply(error: Any, result: Any) -> Reply:
+def _parse_reply(error: Any, result: Any) -> Reply:
     match error, result:
         case None, [bytes(), dict()]:
             return Reply.SERVED
@@ -173,17 +173,17 @@
         recording: Recording,
     ) -> None:
         self.router = router
-        self.may_connect = True  # the front sends new connections
+        self.may_connect = True  # The platform's front end sends new connections to this router.
         self._address = address
         self._classes = classes
         self._rng = rng
         self._recording = recording
         self._connections: list[ClientConnection] = []
-        self._extra: list[ClientConnection] = []  # idle ones, and those with half a message
+        self._extra: list[ClientConnection] = []  # connections that are idle or sent half a message
         self._stopped = False
 
     async def run(self, connections: int, rate: float, keys: int, mix: dict[str, float]) -> None:
-        """Ask until stopped: ``rate`` requests a second of the mix, and loads of each key in turn."""
+        """Send requests until stopped: ``rate`` per second weighted by ``mix``, and loads of each key."""
         async with asyncio.TaskGroup() as tasks:
             for _ in range(connections):
                 tasks.create_task(self._ask(rate / connections, mix))
@@ -191,11 +191,11 @@
                 tasks.create_task(self._ask_by_key(f"{self.router:08x}{number:08x}"))
 
     def stop(self) -> None:
-        """Ask nothing more, and connect no more."""
+        """Send no more requests, and open no more connections."""
         self._stopped = True
 
     def close(self) -> None:
-        """Close everything."""
+        """Close all connections."""
         for connection in (*self._connections, *self._extra):
             connection.close()
 
@@ -209,8 +209,8 @@
                 continue
             [name] = self._rng.choices(names, weights)
             request = connection.send(self._classes[name], self._rng)
-            if request is not None and self._rng.random() < LEAVES_EARLY:
-                delay = self._rng.uniform(0.0, LEAVES_WITHIN_S)
+            if request is not None and self._rng.random() < CANCEL_FRACTION:
+                delay = self._rng.uniform(0.0, CANCEL_WITHIN_S)
                 asyncio.get_running_loop().call_later(delay, connection.cancel, request)
 
     async def _ask_by_key(self, key: str) -> None:
@@ -218,15 +218,15 @@
         while not self._stopped:
             connection = await self._open(connection)
             if connection is None:
-                await asyncio.sleep(RECONNECT_S)
+                await asyncio.sleep(RECONNECT_INTERVAL_S)
                 continue
             first = connection.requests_sent == 0
             connection.send(self._classes["load"], self._rng, key)
             interval = NEW_CONNECTION_KEY_INTERVAL_S if first else KEY_INTERVAL_S
-            await asyncio.sleep(interval + self._rng.uniform(0.0, KEY_PAUSE_S))
+            await asyncio.sleep(interval + self._rng.uniform(0.0, MAX_KEY_PAUSE_S))
 
     async def _open(self, connection: ClientConnection | None) -> ClientConnection | None:
-        """The connection, or a new one where it has ended and the front still sends new ones."""
+        """Return the connection if it is open, else a new one; ``None`` if none can be opened."""
         if connection is not None and connection.is_open:
             return connection
         if connection in self._connections:
@@ -239,7 +239,7 @@
         return opened
 
     async def connect(self) -> ClientConnection | None:
-        """Connect once; ``None`` where the router does not accept."""
+        """Try once to connect; return ``None`` if the router does not accept the connection."""
         loop = asyncio.get_running_loop()
         connection = ClientConnection(
             self._recording.new_connection(), self.router, self._recording.requests.append
@@ -253,7 +253,7 @@
 
     # --- faults
 
-    async def fill(self, count: int) -> None:
+    async def open_idle_connections(self, count: int) -> None:
         """Open connections that never send anything."""
         for _ in range(count):
             connection = await self.connect()
@@ -269,18 +269,18 @@
                 self._extra.append(connection)
 
     def leave(self, count: int, *, reset: bool) -> None:
-        """Some clients close their connections with all that is open."""
+        """Close or reset some connections together with their open requests."""
         for connection in self._connections[:count]:
             connection.close(reset=reset)
 
     def cancel(self, count: int) -> None:
-        """Some clients cancel all that they wait for."""
+        """Cancel all open requests on some connections."""
         for connection in self._connections[:count]:
             for request in connection.open_requests:
                 connection.cancel(request)
 
     def burst(self, count: int) -> None:
-        """Many requests at once on every connection."""
+        """Send ``count`` lookups at once on every connection."""
         lookup = self._classes["lookup"]
         for connection in self._connections:
             for _ in range(count):
--- a/grebeproxy/lab/soak/command.py
+++ b/grebeproxy/lab/soak/command.py
@@ -19,23 +19,23 @@
 from grebeproxy.lab.soak.play import Result, play
 
 SECONDS_PER_MINUTE = 60.0
-FAILED_STATUS = 1
-SEEDS = re.compile(r"(\d{1,9})(?:-(\d{1,9}))?")
-COMMAND = "python -m grebeproxy.lab soak --seeds"
+FAILED_EXIT_STATUS = 1
+SEEDS_PATTERN = re.compile(r"(\d{1,9})(?:-(\d{1,9}))?")
+REPLAY_COMMAND = "python -m grebeproxy.lab soak --seeds"
 
 
 class SeedRange(click.ParamType[tuple[int, ...]]):
-    """One seed, or a range of them such as 1-50."""
+    """A command line value that is one seed or a range of seeds such as 1-50."""
 
     name = "N[-M]"
 
     def convert(
         self, value: object, param: click.Parameter | None, ctx: click.Context | None
     ) -> tuple[int, ...]:
-        """Parse the text; a default that is a tuple already is returned as it is."""
+        """Parse the text; a default that is already a tuple is returned unchanged."""
         if isinstance(value, tuple):
             return value
-        parsed = SEEDS.fullmatch(str(value))
+        parsed = SEEDS_PATTERN.fullmatch(str(value))
         if parsed is None:
             self.fail(f"{value!r} is neither a seed nor a range such as 1-50", param, ctx)
         first, last = parsed[1], parsed[2]
@@ -65,18 +65,18 @@
         return
     results = sorted(_play_all(seeds, jobs, minutes), key=lambda result: result.seed)
     for result in results:
-        click.echo(_line(result))
+        click.echo(_summary_line(result))
     failed = [result for result in results if result.failed]
     click.echo(f"{len(results)} of {len(seeds)} seeds played, {len(failed)} failed")
     if json_path is not None:
         document = {"command": invocation(), "results": [asdict(result) for result in results]}
         json_path.write_bytes(orjson.dumps(document, option=orjson.OPT_INDENT_2))
     if failed:
-        raise SystemExit(FAILED_STATUS)
+        raise SystemExit(FAILED_EXIT_STATUS)
 
 
 def _play_all(seeds: tuple[int, ...], jobs: int, minutes: float | None) -> Iterator[Result]:
-    """Play the seeds, some at a time; after that many minutes no further one is begun."""
+    """Play the seeds in ``jobs`` processes at a time; begin no further seed after ``minutes``."""
     progress = Progress()
     until = time.monotonic() + SECONDS_PER_MINUTE * minutes if minutes is not None else float("inf")
     waiting = list(reversed(seeds))
@@ -87,7 +87,7 @@
             done = next(as_completed(playing))
             playing.remove(done)
             result: Result = done.result()
-            progress.line(_line(result))
+            progress.line(_summary_line(result))
             for violation in result.violations:
                 mark = "disturbed: " if violation.disturbed else ""
                 progress.line(f"  {mark}{violation.check}: {violation.text}")
@@ -96,11 +96,12 @@
             yield result
 
 
-def _line(result: Result) -> str:
-    """One line of the table: the checks that failed, and the command that plays the seed again."""
+def _summary_line(result: Result) -> str:
+    """A line for one seed, with the checks that failed and the command that plays the seed again."""
     checks = ", ".join(sorted({violation.check for violation in result.failed})) or "passed"
     disturbed = len(result.violations) - len(result.failed)
     return (
         f"seed {result.seed:4}  {result.kind:7} {result.served:5} of {result.requests:5} served,"
-        f" harness late {result.late_s:5.2f} s, disturbed {disturbed}: {checks}  ({COMMAND} {result.seed})"
+        f" harness late {result.late_s:5.2f} s, disturbed {disturbed}: {checks}"
+        f"  ({REPLAY_COMMAND} {result.seed})"
     )
--- a/grebeproxy/lab/soak/engines.py
+++ b/grebeproxy/lab/soak/engines.py
@@ -1,4 +1,4 @@
-"""Stand-ins of engines that misbehave on request, and record every attempt that reaches them."""
+"""Stand-ins for engines that fail in a chosen way, and record every attempt that reaches them."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from grebeproxy.units import MS_PER_SECOND
 from grebeproxy.lab.soak.recording import Attempt, End
 
-RUN_S = (0.005, 0.06)  # that a statement takes
-PAGES = 2  # of each third result, so that some results are fetched page by page
+RUN_TIME_S = (0.005, 0.06)  # range of a statement's run time
+PAGES = 2  # pages of about a third of the results, so that routers also fetch results page by page
 LOAD_REPORT = b"gauges=cpu_share:0.1;pending:0;x0:0.05"
-HALF = 2  # a half answer is this part of its bytes
+HALF_DIVISOR = 2  # divisor of an answer's length for half an answer
 
 
 class Mode(StrEnum):
     """How an engine answers statements."""
 
     WELL = "well"
-    HANGING = "hanging"  # takes them, and answers nothing
+    HANGING = "hanging"  # accepts statements and never answers
     REFUSING = "refusing"
     FAILING = "failing"
-    HALF_ANSWERS = "half answers"  # the first bytes of an answer, and nothing after them
+    HALF_ANSWERS = "half answers"  # sends the first half of an answer, and then nothing more
 
 
 class Engine:
-    """One engine, over all its processes."""
+    """One engine, across its restarts."""
 
     def __init__(self, number: int, rng: Random, record: Callable[[Attempt], None]) -> None:
         self.number = number
@@ -48,7 +48,7 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Begin to serve, at the same address as before."""
+        """Begin to serve, at the earlier address if the engine has listened before."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: EngineConnection(self), *self._address, reuse_address=True
@@ -56,9 +56,9 @@
         self._address = (LOOPBACK_HOST, int(self._server.sockets[0].getsockname()[1]))
 
     async def restart(self) -> None:
-        """Be replaced by a new process: connections are reset, and the start is told."""
+        """Act as a new process at the same address: reset the connections and set a new start time."""
         self.close()
-        await asyncio.sleep(0.0)  # the transports close in the next turn of the loop
+        await asyncio.sleep(0.0)  # The transports close in the next iteration of the event loop.
         self.started_ms = int(time.time() * MS_PER_SECOND)
         self.mode = Mode.WELL
         self.state = UP
@@ -76,12 +76,12 @@
             connection.abort()
 
     def leave(self) -> None:
-        """End for good."""
+        """Stop serving permanently, as an engine that is gone."""
         self.state = GONE
         self.close()
 
     def entry(self) -> EngineRecord:
-        """What the change log tells of it."""
+        """The engine's entry in the change log."""
         return EngineRecord(self.number, self._address, self.state, self.started_ms)
 
 
@@ -92,8 +92,8 @@
         self._engine = engine
         self._reader = hiredis.Reader()
         self._transport: asyncio.Transport | None = None
-        self._attempts: dict[bytes, Attempt] = {}  # that are out on this connection, by request
-        self._cut_short = False  # half an answer was written: nothing more can follow
+        self._attempts: dict[bytes, Attempt] = {}  # attempts in flight on this connection, by txn
+        self._cut_short = False  # Half an answer was written, so nothing more may follow.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection."""
@@ -101,7 +101,7 @@
         self._engine.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Everything that was open on the connection is given up."""
+        """End the attempts in flight on the connection."""
         self._engine.connections.discard(self)
         self._end_all()
 
@@ -112,12 +112,12 @@
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Take each command."""
+        """Handle each complete command."""
         self._reader.feed(data)
         while (command := self._reader.gets()) is not False:
             match command:
                 case [b"REQ", txn, _, _]:
-                    self._take(txn)
+                    self._start_attempt(txn)
                 case [b"STOP" | b"END", txn]:
                     self._end(txn, End.STOPPED)
                 case [b"FETCH", txn, page]:
@@ -125,7 +125,7 @@
                 case [b"HELO", tag]:
                     self._write(tag, b"yes", b"-", b"")
 
-    def _take(self, txn: bytes) -> None:
+    def _start_attempt(self, txn: bytes) -> None:
         attempt = Attempt(txn.decode(), self._engine.number, time.monotonic())
         self._engine.record(attempt)
         self._attempts[txn] = attempt
@@ -135,12 +135,12 @@
             case Mode.HANGING:
                 pass
             case _:
-                delay = self._engine.rng.uniform(*RUN_S)
+                delay = self._engine.rng.uniform(*RUN_TIME_S)
                 asyncio.get_running_loop().call_later(delay, self._answer, txn)
 
     def _answer(self, txn: bytes) -> None:
         if txn not in self._attempts:
-            return  # stopped meanwhile
+            return  # The attempt ended before its answer was due.
         match self._engine.mode:
             case Mode.FAILING:
                 self._finish(txn, End.ANSWERED, b"error", b"-", b"it failed")
@@ -158,10 +158,10 @@
             self._finish(txn, End.ANSWERED, b"batch", b"pos=" + page, PAGE)
 
     def _write_half(self, txn: bytes) -> None:
-        data = _packed(txn, b"ok", b"count=1," + LOAD_REPORT, PAGE)
+        data = _pack_command(txn, b"ok", b"count=1," + LOAD_REPORT, PAGE)
         if self._transport is not None and not self._transport.is_closing() and not self._cut_short:
             self._cut_short = True
-            self._transport.write(data[: len(data) // HALF])
+            self._transport.write(data[: len(data) // HALF_DIVISOR])
 
     def _finish(self, txn: bytes, end: End, *words: bytes) -> None:
         self._write(txn, *words)
@@ -169,7 +169,7 @@
 
     def _write(self, *words: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing() and not self._cut_short:
-            self._transport.write(_packed(*words))
+            self._transport.write(_pack_command(*words))
 
     def _end(self, txn: bytes, end: End) -> None:
         attempt = self._attempts.pop(txn, None)
@@ -181,6 +181,6 @@
             self._end(txn, End.CLOSED)
 
 
-def _packed(*words: Any) -> bytes:
+def _pack_command(*words: Any) -> bytes:
     packed: bytes = hiredis.pack_command(words)
     return packed
--- a/grebeproxy/lab/soak/peer_network.py
+++ b/grebeproxy/lab/soak/peer_network.py
@@ -1,4 +1,4 @@
-"""What routers that know each other need: relays that count their datagrams, and the target of a duty."""
+"""The network of routers that are peers: relays that record their datagrams, and the target of a duty."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Relay(asyncio.DatagramProtocol):
-    """Receives what the others send to one router, and passes it on."""
+    """Receives the datagrams that other routers send to one router, and forwards them."""
 
     def __init__(self, to: Address, sent: list[float]) -> None:
         self._to = to
@@ -28,21 +28,21 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Be ready to pass on."""
+        """Keep the transport, so that datagrams can be forwarded."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Pass one datagram on, and record when."""
+        """Forward one datagram, and record its time."""
         self._sent.append(time.monotonic())
         if self._transport is not None:
             self._transport.sendto(data, self._to)
 
     def error_received(self, exc: Exception) -> None:
-        """The router is down: datagrams to it are lost."""
+        """Ignore the error: datagrams to a router that is down are lost."""
 
 
 class RecordingDutyTarget(DutyTarget):
-    """Records each report of a duty, also those that are rejected."""
+    """A duty target that records each report, including those that it rejects."""
 
     def __init__(self, reports: list[DutyReport]) -> None:
         super().__init__()
@@ -66,7 +66,7 @@
         self._transports: list[asyncio.DatagramTransport] = []
 
     async def open(self) -> list[str]:
-        """Listen; gives the operator file of each router."""
+        """Start listening, and return the text of each router's operator file."""
         loop = asyncio.get_running_loop()
         membership = MembershipPlan(
             self._routers, PERIOD_S, LEASE_S, SETTLE_S, duty_report=await self._target.listen()
@@ -80,7 +80,7 @@
             )
             self._transports.append(transport)
             relays.append((LOOPBACK_HOST, int(transport.get_extra_info("sockname")[1])))
-        unused = (LOOPBACK_HOST, 0)  # the plan's addresses that an operator file does not hold
+        unused = (LOOPBACK_HOST, 0)  # placeholder for addresses that an operator file does not contain
         return [
             peers_hcl(
                 RealRouterPlan(
--- a/grebeproxy/lab/soak/play.py
+++ b/grebeproxy/lab/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays one plan with real processes on loopback, and checks what came of it."""
+"""Plays one plan with real processes on loopback, and checks the recording of the run."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
 
 MEMORY_MB = 192
 MEBIBYTE = 1024 * 1024
-KEYS = 2  # keys of loads at each router
-MIX = {"lookup": 0.8, "report": 0.2}  # of the requests without a key
-WORK = {"lookup": 0.005, "report": 0.05, "load": 0.05}  # core-seconds
-FLOOD_WORK = 0.2  # core-seconds of a lookup where engines restart under a flood
-FRONT_CONNECTS_S = 0.4  # after SIGTERM, in which the front still sends new connections
-LATE_S = 0.02  # by which a timer of this harness may be late
-TICK_S = 0.005
+KEYS_PER_ROUTER = 2  # order keys of loads at each router
+CLASS_WEIGHTS = {"lookup": 0.8, "report": 0.2}  # weights of the classes among requests without a key
+WORK_CORE_S = {"lookup": 0.005, "report": 0.05, "load": 0.05}  # core-seconds per request of each class
+FLOOD_WORK_CORE_S = 0.2  # core-seconds per lookup in runs that restart engines under high load
+FRONT_END_CONNECTS_S = 0.4  # The platform's front end still opens connections this long after SIGTERM.
+LATE_THRESHOLD_S = 0.02  # The harness counts as late if its timer fires later than due by more than this.
+TICK_INTERVAL_S = 0.005
 SAMPLE_INTERVAL_S = 0.25
-GONE_AFTER_S = 2.2  # from an engine's drain to its end
-STARTING_S = 0.4  # in which signals reach a router that is starting
-FEWEST_ENGINES = 2  # that stay up
+GONE_AFTER_S = 2.2  # time from the start of an engine's drain to its end
+STARTUP_S = 0.4  # time after a router's start in which the harness signals it
+MIN_ENGINES_UP = 2  # A drain is skipped if no more engines than this are up.
 READY_TIMEOUT_S = 15.0
-CALM_S = 1.0  # before the first fault, in which traffic and descriptors are measured
+BASELINE_S = 1.0  # length of the period before the first fault in which the baseline is measured
 
 ENGINE_MODES = {
     Action.ENGINE_HANG: Mode.HANGING,
@@ -55,24 +55,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What came of one seed."""
+    """The result of one seed."""
 
     seed: int
     kind: str
     requests: int
     served: int
     attempts: int
-    late_s: float  # for how long the harness itself ran late
+    late_s: float  # total time for which the harness itself ran late
     violations: tuple[Violation, ...]
 
     @property
     def failed(self) -> tuple[Violation, ...]:
-        """The violations that prove something: the harness ran in time around them."""
+        """The violations that count: those near which the harness did not run late."""
         return tuple(one for one in self.violations if not one.disturbed)
 
 
 def play(plan: Plan) -> Result:
-    """Play a plan from its start to its end, and check the recording."""
+    """Play a whole plan, and check its recording."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         recording = runner.run(_play(plan))
     checks = PAUSE_CHECKS if plan.kind is Kind.PAUSES else CHECKS
@@ -91,7 +91,7 @@
 
 
 def settings_of(plan: Plan, index: int) -> dict[str, Any]:
-    """The settings of one router."""
+    """The settings of the router with that index."""
     document = settings_document(plan.routers, index)
     for category in document["categories"]:
         if category["name"] == "report" and plan.unsafe_reports:
@@ -101,14 +101,14 @@
 
 
 def rules_of(plan: Plan) -> Rules:
-    """The rules that those settings state."""
+    """The rules that the settings of the plan's routers state."""
     document = settings_of(plan, 0)
     classes = {
         category["name"]: ClassRules(
             name=category["name"],
             deadline=category["deadline"] / MS_PER_SECOND,
             repeatable=category["effect"] == "retryable",
-            has_token=category["effect"] == "dedup",
+            has_idempotency_key=category["effect"] == "dedup",
             window=category["window"] / MS_PER_SECOND,
             ordered=bool(category.get("inTurn")),
         )
@@ -142,7 +142,7 @@
 
 
 class Run:
-    """Everything that takes part in one run."""
+    """One run, with its routers, engines, change log and clients."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.recording = Recording()
@@ -162,7 +162,7 @@
         self._peers: PeerNetwork | None = None
 
     async def play(self) -> None:
-        """Start everything, let the faults happen, and end the routers."""
+        """Start everything, inject the faults at their times, and stop the routers."""
         await self._start()
         async with asyncio.TaskGroup() as background:
             watchers = [
@@ -171,17 +171,19 @@
             ]
             async with asyncio.TaskGroup() as tasks:
                 for clients in self._clients:
-                    tasks.create_task(clients.run(self._plan.connections, self._plan.rate, KEYS, MIX))
+                    tasks.create_task(
+                        clients.run(self._plan.connections, self._plan.rate, KEYS_PER_ROUTER, CLASS_WEIGHTS)
+                    )
                     if self._plan.idle_clients:
-                        tasks.create_task(clients.fill(self._plan.idle_clients))
+                        tasks.create_task(clients.open_idle_connections(self._plan.idle_clients))
                 for fault in self._plan.faults:
-                    tasks.create_task(self._at(fault.at, lambda fault=fault: self._inject(fault)))  # type: ignore[misc]
-                tasks.create_task(self._at(END_S, self._end_all))
+                    tasks.create_task(self._call_at(fault.at, lambda fault=fault: self._inject(fault)))  # type: ignore[misc]
+                tasks.create_task(self._call_at(END_S, self._end_all))
             for watcher in watchers:
                 watcher.cancel()
 
     async def close(self) -> None:
-        """End what is left, also after an error."""
+        """Stop everything that still runs, also after an error, and complete the recording."""
         for clients in self._clients:
             clients.stop()
             clients.close()
@@ -193,7 +195,7 @@
         await self._log.close()
         if self._peers is not None:
             await self._peers.close()
-        self.recording.lives = [life for router in self._routers for life in router.lives]
+        self.recording.processes = [process for router in self._routers for process in router.processes]
         self.recording.pauses = {router.index: router.pauses for router in self._routers}
         self.recording.usage = [usage for router in self._routers for usage in router.usage]
 
@@ -233,12 +235,12 @@
             for router in self._routers:
                 tasks.create_task(router.wait_until_ready())
         self._began = time.monotonic()
-        self.recording.calm = Span(self._began + WARM_UP_S - CALM_S, self._began + WARM_UP_S)
+        self.recording.baseline = Span(self._began + WARM_UP_S - BASELINE_S, self._began + WARM_UP_S)
         self.recording.quiet_from = self._began + QUIET_FROM_S
         self.recording.ended_at = self._began + END_S
 
     def _work(self, name: str) -> float:
-        return FLOOD_WORK if self._plan.kind is Kind.COLD and name == "lookup" else WORK[name]
+        return FLOOD_WORK_CORE_S if self._plan.kind is Kind.COLD and name == "lookup" else WORK_CORE_S[name]
 
     def _configuration(self, index: int, address: Address, log_address: Address) -> dict[str, Any]:
         return {
@@ -258,7 +260,7 @@
         for clients in self._clients:
             clients.stop()
 
-    async def _at(self, offset: float, call: Callable[[], Awaitable[None]]) -> None:
+    async def _call_at(self, offset: float, call: Callable[[], Awaitable[None]]) -> None:
         await asyncio.sleep(max(0.0, self._began + offset - time.monotonic()))
         await call()
 
@@ -271,12 +273,12 @@
             await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     async def _measure_lateness(self) -> None:
-        """Record when this harness itself ran late, and its times with it."""
+        """Record the periods in which the harness itself runs late, since its recorded times are late too."""
         while True:
-            due = time.monotonic() + TICK_S
-            await asyncio.sleep(TICK_S)
+            due = time.monotonic() + TICK_INTERVAL_S
+            await asyncio.sleep(TICK_INTERVAL_S)
             now = time.monotonic()
-            if now > due + LATE_S:
+            if now > due + LATE_THRESHOLD_S:
                 self.recording.late.append(Span(due, now))
 
     # --- faults
@@ -309,7 +311,7 @@
                 await self._restart_while_starting(router, fault)
 
     def _rewrite_configuration(self, router: Router) -> None:
-        """Change a setting that no rule depends on."""
+        """Change a setting that no rule depends on, so that a reload finds a new configuration."""
         document = self._documents[router.index]
         document["settings"]["overShareWorth"] = self._rng.uniform(0.1, 0.3)
         path = self._folder / f"r{router.index}" / "config.json"
@@ -318,12 +320,12 @@
         fresh.replace(path)
 
     async def _terminate(self, router: Router, signals: list[signal.Signals]) -> None:
-        """Ask it to end, let its clients go on, and kill it at the earliest time that the page allows."""
+        """Signal a router while its clients go on, and kill it at the earliest time that the rules allow."""
         began = time.monotonic()
         for number in signals:
             router.signal(number)
         clients = self._clients[router.index]
-        asyncio.get_running_loop().call_later(FRONT_CONNECTS_S, setattr, clients, "may_connect", False)
+        asyncio.get_running_loop().call_later(FRONT_END_CONNECTS_S, setattr, clients, "may_connect", False)
         await router.kill_at(began + self._rules.killed_after)
 
     async def _restart(self, router: Router, signals: list[signal.Signals]) -> None:
@@ -346,7 +348,7 @@
         router.start()
         await router.wait_until_executed()
         for _ in range(fault.count):
-            await asyncio.sleep(self._rng.uniform(0.0, STARTING_S / fault.count))
+            await asyncio.sleep(self._rng.uniform(0.0, STARTUP_S / fault.count))
             if fault.action is Action.RELOAD_WHILE_STARTING:
                 router.signal(signal.SIGHUP)
         if fault.action is Action.TERMINATE_WHILE_STARTING:
@@ -371,7 +373,7 @@
                 engine.mode = Mode.WELL
 
     async def _drain(self, engine: Engine) -> None:
-        if sum(other.state == UP for other in self._engines) <= FEWEST_ENGINES:
+        if sum(other.state == UP for other in self._engines) <= MIN_ENGINES_UP:
             return
         engine.state = DRAINING
         self.recording.withdrawals.append(Withdrawal(engine.number, time.monotonic()))
--- a/grebeproxy/lab/soak/recording.py
+++ b/grebeproxy/lab/soak/recording.py
@@ -1,6 +1,6 @@
-"""What happened in a run, as the clients, the engines and the processes' parent saw it.
+"""The record of one run, as the clients, the engines and the parent of the router processes observe it.
 
-All times are in seconds on the monotonic clock of the machine.
+All times are in seconds on the machine's monotonic clock.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 
 
 class Reply(StrEnum):
-    """What a client was told."""
+    """The kind of answer that a client received."""
 
     SERVED = "served"
-    REJECTED = "rejected"  # trying again is harmless
+    REJECTED = "rejected"  # The client may safely retry.
     FAILED = "failed"
     UNREADABLE = "unreadable"
 
@@ -22,9 +22,9 @@
     """How an attempt ended at its engine."""
 
     ANSWERED = "answered"
-    NEVER_RAN = "never ran"  # refused by the engine
-    STOPPED = "stopped"  # by the router
-    CLOSED = "closed"  # with its connection
+    NEVER_RAN = "never ran"  # The engine refused the statement.
+    STOPPED = "stopped"  # The router stopped the attempt.
+    CLOSED = "closed"  # The connection closed during the attempt.
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,25 +41,25 @@
 
     txn: str
     router: int
-    connection: int  # a number that no other connection of the run has
-    number: int  # of the request on its connection, from 1
+    connection: int  # number of the connection, unique in the run
+    number: int  # number of the request on its connection, from 1
     query_class: str
     key: str | None
     work: float  # core-seconds
     limit: float  # seconds that the client waits
     sent_at: float
     answers: list[Answer] = field(default_factory=list)
-    left_at: float | None = None  # when the client cancelled it, or closed its connection
-    lost_at: float | None = None  # when the router's side of the connection ended without an answer
+    left_at: float | None = None  # when the client cancelled the request or closed its connection
+    lost_at: float | None = None  # when the connection ended without an answer
 
     @property
     def deadline(self) -> float:
-        """Until when the client waits."""
+        """The time until which the client waits."""
         return self.sent_at + self.limit
 
     @property
-    def over_at(self) -> float | None:
-        """When the client had its answer or had left, or its connection ended; ``None`` if none of it."""
+    def finished_at(self) -> float | None:
+        """When the client was answered, cancelled or lost its connection; ``None`` while it waits."""
         times = [answer.at for answer in self.answers]
         times += [at for at in (self.left_at, self.lost_at) if at is not None]
         return min(times, default=None)
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt that reached an engine whole."""
+    """One attempt whose request message an engine has read in full."""
 
     txn: str
     engine: int
@@ -77,38 +77,38 @@
 
 
 @dataclass(slots=True)
-class Life:
+class ProcessRecord:
     """One process of a router, from its start to its end."""
 
     router: int
     started_at: float
-    ready_at: float | None = None  # when it answered a probe with true
-    terminated_at: float | None = None  # when it was sent the first SIGTERM
-    killed_at: float | None = None  # when it was sent SIGKILL
+    ready_at: float | None = None  # when the process first answered a probe with true
+    terminated_at: float | None = None  # when the harness sent the first SIGTERM
+    killed_at: float | None = None  # when the harness sent SIGKILL
     ended_at: float | None = None
-    status: int | None = None  # of its exit; negative for a signal
+    status: int | None = None  # exit status; negative for the signal that ended the process
     log: str = ""
 
     def runs_at(self, at: float) -> bool:
-        """Whether it was running then."""
+        """Whether the process was running at the time."""
         return self.started_at <= at and (self.ended_at is None or at <= self.ended_at)
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A time in which something lasted: a process was stopped, or this harness ran late."""
+    """A period of time, such as one in which a process was paused or the harness ran late."""
 
     began: float
     ended: float
 
     def overlap(self, began: float, ended: float) -> float:
-        """Seconds that both have in common."""
+        """Seconds that the span has in common with another period."""
         return max(0.0, min(self.ended, ended) - max(self.began, began))
 
 
 @dataclass(frozen=True, slots=True)
 class EngineStart:
-    """A start of an engine that the change log told of."""
+    """An engine's start, as published in the change log."""
 
     engine: int
     at: float
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdrawal:
-    """An engine that the change log told to be draining or gone."""
+    """An engine's withdrawal: the change log published that it is draining or gone."""
 
     engine: int
     at: float
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a router's process held."""
+    """The memory and descriptors that a router process held at one time."""
 
     router: int
     at: float
@@ -134,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyReport:
-    """One report of a duty: the holder named in it, and the ballot."""
+    """One report of a duty, with the ballot and the lease holder that it names."""
 
     at: float
     ballot: int
@@ -143,38 +143,40 @@
 
 @dataclass(slots=True)
 class Recording:
-    """Everything that the checks look at."""
+    """Everything that the checks use."""
 
     requests: list[Request] = field(default_factory=list)
     attempts: list[Attempt] = field(default_factory=list)
-    lives: list[Life] = field(default_factory=list)
-    pauses: dict[int, list[Span]] = field(default_factory=dict)  # by router
-    late: list[Span] = field(default_factory=list)  # when the harness itself ran late
+    processes: list[ProcessRecord] = field(default_factory=list)
+    pauses: dict[int, list[Span]] = field(default_factory=dict)  # pauses of each router, by its index
+    late: list[Span] = field(default_factory=list)  # periods in which the harness itself ran late
     withdrawals: list[Withdrawal] = field(default_factory=list)
     engine_starts: list[EngineStart] = field(default_factory=list)
     usage: list[Usage] = field(default_factory=list)
     duty_reports: list[DutyReport] = field(default_factory=list)
-    datagrams: list[float] = field(default_factory=list)  # times at which routers sent one to another
-    quiet_from: float = 0.0  # when the last fault had ended
-    calm: Span | None = None  # a time before the first fault
+    datagrams: list[float] = field(default_factory=list)  # times of the datagrams between routers
+    quiet_from: float = 0.0  # time by which the last fault has ended
+    baseline: Span | None = None  # a period before the first fault, for comparison
     ended_at: float = 0.0
-    connections: int = 0  # of clients, until now
+    connections: int = 0  # client connections opened so far
 
     def new_connection(self) -> int:
-        """A number that no other connection of the run has."""
+        """A number for a new client connection, unique in the run."""
         self.connections += 1
         return self.connections
 
-    def paused(self, router: int, began: float, ended: float) -> float:
-        """Seconds for which a router's process was stopped in that time."""
+    def paused_seconds(self, router: int, began: float, ended: float) -> float:
+        """Seconds for which a router's process was paused in the period."""
         return sum(span.overlap(began, ended) for span in self.pauses.get(router, ()))
 
     def resumed_after(self, router: int, at: float) -> float:
-        """When the process went on, if it was stopped at that time; else that time."""
+        """When the router's process resumed, if it was paused at the given time; otherwise that time."""
         spans = [span for span in self.pauses.get(router, ()) if span.began <= at <= span.ended]
         return max((span.ended for span in spans), default=at)
 
-    def life_at(self, router: int, at: float) -> Life | None:
-        """The process of a router that ran at that time."""
-        lives = [life for life in self.lives if life.router == router and life.runs_at(at)]
-        return lives[-1] if lives else None
+    def process_at(self, router: int, at: float) -> ProcessRecord | None:
+        """The router's process that ran at the given time, or ``None``."""
+        processes = [
+            process for process in self.processes if process.router == router and process.runs_at(at)
+        ]
+        return processes[-1] if processes else None
--- a/grebeproxy/lab/soak/routers.py
+++ b/grebeproxy/lab/soak/routers.py
@@ -1,4 +1,4 @@
-"""Router processes: started, signalled, measured, and watched until they end."""
+"""Starts, signals and measures router processes, and records how they end."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 from grebeproxy.lab.scale.addresses import Address
 from grebeproxy.lab.scale.meter import resident_bytes
 from grebeproxy.lab.soak.clients import REQUEST
-from grebeproxy.lab.soak.recording import Life, Span, Usage
+from grebeproxy.lab.soak.recording import ProcessRecord, Span, Usage
 
 POLL_INTERVAL_S = 0.02
 PROBE_TIMEOUT_S = 1.0
 PROBE = msgpack.packb([REQUEST, 1, "probe", [{}]])
-EXEC_POLL_S = 0.002
-END_TIMEOUT_S = 10.0  # after SIGKILL
-SHELL = "sh"
-RUN = "trap '' HUP; exec \"$0\" -m grebeproxy"  # as in the deploy file
+EXEC_POLL_INTERVAL_S = 0.002
+KILL_TIMEOUT_S = 10.0  # longest wait for a process to end after SIGKILL
+SHELL_NAME = "sh"
+RUN_SCRIPT = "trap '' HUP; exec \"$0\" -m grebeproxy"  # the start command of the deploy file
 
 
 class Router:
-    """One router, over all its processes."""
+    """One router, across the processes that run it one after another."""
 
     def __init__(
         self, index: int, address: Address, document: dict[str, Any], peers: str | None, folder: Path
     ) -> None:
         self.index = index
         self.address = address
-        self.lives: list[Life] = []
+        self.processes: list[ProcessRecord] = []
         self.pauses: list[Span] = []
         self.usage: list[Usage] = []
         self._folder = folder
@@ -54,31 +54,31 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether its process runs."""
+        """Whether the router's process runs."""
         return self._process is not None and self._process.poll() is None
 
     def start(self) -> None:
-        """Start a process, whose output goes to a file of its own."""
-        path = self._folder / f"log-{len(self.lives)}"
-        self.lives.append(Life(self.index, time.monotonic()))
+        """Start a process whose output goes to a log file of its own."""
+        path = self._folder / f"log-{len(self.processes)}"
+        self.processes.append(ProcessRecord(self.index, time.monotonic()))
         with path.open("wb") as log:
             self._process = subprocess.Popen(
-                ["/bin/sh", "-c", RUN, sys.executable], env=self._environment, stdout=log, stderr=log
+                ["/bin/sh", "-c", RUN_SCRIPT, sys.executable], env=self._environment, stdout=log, stderr=log
             )
 
     async def wait_until_executed(self) -> None:
-        """Wait until the shell has become the program: the platform signals that one."""
+        """Wait until the shell has executed the router: the platform signals the router, not the shell."""
         while self._process is not None and self._process.poll() is None:
-            if Path(f"/proc/{self._process.pid}/comm").read_text().strip() != SHELL:
+            if Path(f"/proc/{self._process.pid}/comm").read_text().strip() != SHELL_NAME:
                 return
-            await asyncio.sleep(EXEC_POLL_S)
+            await asyncio.sleep(EXEC_POLL_INTERVAL_S)
 
     async def wait_until_ready(self) -> None:
         """Wait until the process answers a probe with true, or has ended."""
-        life = self.lives[-1]
-        while self.is_running and life is self.lives[-1] and life.terminated_at is None:
+        record = self.processes[-1]
+        while self.is_running and record is self.processes[-1] and record.terminated_at is None:
             if await self._answers_probe():
-                life.ready_at = time.monotonic()
+                record.ready_at = time.monotonic()
                 return
             await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -98,18 +98,18 @@
     # --- signals
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if the process runs."""
+        """Send a signal if the process runs."""
         if not self.is_running or self._process is None:
             return
-        life, now = self.lives[-1], time.monotonic()
-        if number is signal.SIGTERM and life.terminated_at is None:
-            life.terminated_at = now
+        record, now = self.processes[-1], time.monotonic()
+        if number is signal.SIGTERM and record.terminated_at is None:
+            record.terminated_at = now
         elif number is signal.SIGKILL:
-            life.killed_at = now
+            record.killed_at = now
         self._process.send_signal(number)
 
     async def pause(self, seconds: float) -> None:
-        """Stop the process for some seconds."""
+        """Pause the process for some seconds, with SIGSTOP and SIGCONT."""
         if not self.is_running or self._stopped_at is not None:
             return
         self._stopped_at = time.monotonic()
@@ -120,36 +120,36 @@
         self._stopped_at = None
 
     async def kill_at(self, at: float) -> None:
-        """Wait for the process to end; send SIGKILL at that time if it has not."""
+        """Wait for the process to end, and send SIGKILL at the given time if it still runs."""
         while self.is_running and time.monotonic() < at:
             await asyncio.sleep(POLL_INTERVAL_S)
         self.signal(signal.SIGKILL)
         if self._process is not None:
-            await asyncio.to_thread(self._process.wait, END_TIMEOUT_S)
+            await asyncio.to_thread(self._process.wait, KILL_TIMEOUT_S)
         self.watch()
 
     def watch(self) -> None:
-        """Record the end of the process, once it has ended, and what it holds until then."""
-        if self._process is None or not self.lives or self.lives[-1].ended_at is not None:
+        """Record the memory and descriptors of a running process, or the status and log of one that ended."""
+        if self._process is None or not self.processes or self.processes[-1].ended_at is not None:
             return
-        life, now = self.lives[-1], time.monotonic()
+        record, now = self.processes[-1], time.monotonic()
         status = self._process.poll()
         if status is None:
             self._measure(now)
             return
-        life.ended_at, life.status = now, status
-        life.log = (self._folder / f"log-{len(self.lives) - 1}").read_text(errors="replace")
+        record.ended_at, record.status = now, status
+        record.log = (self._folder / f"log-{len(self.processes) - 1}").read_text(errors="replace")
 
     def _measure(self, now: float) -> None:
         assert self._process is not None
         try:
             descriptors = len(os.listdir(f"/proc/{self._process.pid}/fd"))
         except OSError:
-            return  # it has just ended
+            return  # The process has just ended.
         self.usage.append(Usage(self.index, now, resident_bytes(self._process.pid), descriptors))
 
     def end(self) -> None:
-        """Kill what still runs."""
+        """Kill the process if it still runs."""
         if self._process is not None and self._process.poll() is None:
             self._process.kill()
             self._process.wait()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak, short: a seed of each kind with real processes. Many are played by hand (docs/SOAK.md)."""
+"""A short soak: one seed of each kind with real processes. Longer soaks are run by hand (docs/SOAK.md)."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 from grebeproxy.lab.soak.plan import make_plan
 from grebeproxy.lab.soak.play import play
 
-FEWEST_SERVED = 0.5  # part of the requests that are served in spite of the faults: the run did take place
+# Serving this fraction of the requests in spite of the faults shows that the run did take place.
+MIN_SERVED_FRACTION = 0.5
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5])
 def test_seed(seed: int) -> None:
     result = play(make_plan(seed))
     assert result.failed == ()
-    assert result.served > FEWEST_SERVED * result.requests > 100
+    assert result.served > MIN_SERVED_FRACTION * result.requests > 100
 
 
 def test_the_command_prints_the_same_schedule_each_time() -> None:
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""The oracle of the soak: a sound recording passes, and each rule that is broken on purpose is caught."""
+"""The checks of the soak: a valid recording passes, and each deliberate violation is reported."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     DutyReport,
     End,
     EngineStart,
-    Life,
+    ProcessRecord,
     Recording,
     Reply,
     Request,
@@ -26,8 +26,8 @@
     Withdrawal,
 )
 
-UNSAFE = next(plan for plan in map(make_plan, range(100)) if plan.unsafe_reports and plan.key_settle_ms)
-RULES = rules_of(UNSAFE)
+UNSAFE_PLAN = next(plan for plan in map(make_plan, range(100)) if plan.unsafe_reports and plan.key_settle_ms)
+RULES = rules_of(UNSAFE_PLAN)
 MEBIBYTE = 1024 * 1024
 
 
@@ -37,33 +37,35 @@
     return Request(txn, 0, 1, number, cls, key, 0.05, limit, sent_at)
 
 
-def served(asked: Request, took: float = 0.05) -> Request:
-    asked.answers.append(Answer(asked.sent_at + took, Reply.SERVED))
-    return asked
+def served(client_request: Request, took: float = 0.05) -> Request:
+    client_request.answers.append(Answer(client_request.sent_at + took, Reply.SERVED))
+    return client_request
 
 
-def attempt_of(asked: Request, *, at: float, engine: int = 1, end: End | None = End.ANSWERED) -> Attempt:
-    return Attempt(asked.txn, engine, at, None if end is None else at + 0.02, end)
+def attempt_of(
+    client_request: Request, *, at: float, engine: int = 1, end: End | None = End.ANSWERED
+) -> Attempt:
+    return Attempt(client_request.txn, engine, at, None if end is None else at + 0.02, end)
 
 
-def sound() -> Recording:
-    """A recording of a router that did everything right, from second 100 on."""
+def valid_recording() -> Recording:
+    """A recording in which a router keeps every rule, from second 100 on."""
     recording = Recording(
-        lives=[Life(0, 99.0, 99.5, terminated_at=115.0, ended_at=116.0, status=0)],
+        processes=[ProcessRecord(0, 99.0, 99.5, terminated_at=115.0, ended_at=116.0, status=0)],
         pauses={0: [Span(108.0, 108.4)]},
-        calm=Span(100.0, 101.0),
+        baseline=Span(100.0, 101.0),
         quiet_from=110.0,
         ended_at=116.0,
     )
     for number in range(1, 100):
         cls = "report" if number % 5 == 0 else "lookup"
-        asked = served(request(number, cls, sent_at=100.0 + 0.1 * number))
-        recording.requests.append(asked)
-        recording.attempts.append(attempt_of(asked, at=asked.sent_at + 0.01))
+        client_request = served(request(number, cls, sent_at=100.0 + 0.1 * number))
+        recording.requests.append(client_request)
+        recording.attempts.append(attempt_of(client_request, at=client_request.sent_at + 0.01))
     for number in range(1000, 1010):
-        asked = served(request(number, "load", sent_at=101.0 + 0.5 * (number - 1000), key="a"))
-        recording.requests.append(asked)
-        recording.attempts.append(attempt_of(asked, at=asked.sent_at + 0.01))
+        client_request = served(request(number, "load", sent_at=101.0 + 0.5 * (number - 1000), key="a"))
+        recording.requests.append(client_request)
+        recording.attempts.append(attempt_of(client_request, at=client_request.sent_at + 0.01))
     recording.withdrawals.append(Withdrawal(7, 103.0))
     recording.engine_starts.append(EngineStart(2, 104.0))
     recording.usage = [Usage(0, at, 20 * MEBIBYTE, 40) for at in (100.5, 105.0, 111.0)]
@@ -72,15 +74,15 @@
     return recording
 
 
-def found(recording: Recording) -> set[str]:
+def violated_checks(recording: Recording) -> set[str]:
     return {one.check for one in violations(recording, RULES, PAUSE_CHECKS) if not one.disturbed}
 
 
-def test_a_sound_recording_passes() -> None:
-    assert violations(sound(), RULES, PAUSE_CHECKS) == []
+def test_a_valid_recording_passes() -> None:
+    assert violations(valid_recording(), RULES, PAUSE_CHECKS) == []
 
 
-# --- one way to break each rule
+# --- recordings that break one rule
 
 
 def second_answer(recording: Recording) -> None:
@@ -97,9 +99,9 @@
 
 
 def late_answer_after_a_pause(recording: Recording) -> None:
-    asked = next(one for one in recording.requests if 106.15 < one.sent_at < 106.25)
-    asked.answers = []  # due in the pause, which ends at 108.4
-    served(asked, 108.95 - asked.sent_at)
+    client_request = next(one for one in recording.requests if 106.15 < one.sent_at < 106.25)
+    client_request.answers = []  # The deadline is within the pause, which ends at 108.4 s.
+    served(client_request, 108.95 - client_request.sent_at)
 
 
 def no_answer(recording: Recording) -> None:
@@ -112,11 +114,11 @@
 
 
 def killed_with_a_late_request(recording: Recording) -> None:
-    life = recording.lives[0]
-    life.killed_at, life.ended_at, life.status = 118.7, 118.71, -signal.SIGKILL
-    asked = request(500, sent_at=116.0)
-    asked.lost_at = 118.71
-    recording.requests.append(asked)
+    process = recording.processes[0]
+    process.killed_at, process.ended_at, process.status = 118.7, 118.71, -signal.SIGKILL
+    client_request = request(500, sent_at=116.0)
+    client_request.lost_at = 118.71
+    recording.requests.append(client_request)
 
 
 def first_attempt_rejected(recording: Recording) -> None:
@@ -127,7 +129,7 @@
     recording.attempts.append(attempt_of(recording.requests[0], at=100.115, engine=2))
 
 
-def two_in_flight_for_ever(recording: Recording) -> None:
+def second_attempt_while_the_first_never_ends(recording: Recording) -> None:
     recording.attempts[0].ended_at = recording.attempts[0].end = None
     recording.attempts.append(attempt_of(recording.requests[0], at=100.3, engine=2))
 
@@ -185,29 +187,29 @@
 
 def engine_overloaded(recording: Recording) -> None:
     for number in range(2000, 3200):
-        asked = served(request(number, sent_at=104.1))
-        recording.requests.append(asked)
-        recording.attempts.append(attempt_of(asked, at=104.11, engine=2))
+        client_request = served(request(number, sent_at=104.1))
+        recording.requests.append(client_request)
+        recording.attempts.append(attempt_of(client_request, at=104.11, engine=2))
 
 
 def crash(recording: Recording) -> None:
-    recording.lives[0].ended_at, recording.lives[0].status = 112.0, 1
+    recording.processes[0].ended_at, recording.processes[0].status = 112.0, 1
 
 
 def crash_after_sigterm(recording: Recording) -> None:
-    recording.lives[0].status = 1
+    recording.processes[0].status = 1
 
 
 def fault_in_the_log(recording: Recording) -> None:
-    recording.lives[0].log = "router.decision_module.failed\nTraceback (most recent call last)"
+    recording.processes[0].log = "router.decision_module.failed\nTraceback (most recent call last)"
 
 
 def not_ready(recording: Recording) -> None:
-    recording.lives[0].ready_at = 110.0
+    recording.processes[0].ready_at = 110.0
 
 
 def never_ready(recording: Recording) -> None:
-    recording.lives[0].ready_at = None
+    recording.processes[0].ready_at = None
 
 
 def too_much_memory(recording: Recording) -> None:
@@ -231,7 +233,7 @@
 
 
 def two_holders_though_one_restarted(recording: Recording) -> None:
-    recording.lives.append(Life(1, 102.5, 103.0, terminated_at=115.0, ended_at=116.0, status=0))
+    recording.processes.append(ProcessRecord(1, 102.5, 103.0, terminated_at=115.0, ended_at=116.0, status=0))
     recording.duty_reports.append(DutyReport(103.0, 1, "r0"))
 
 
@@ -239,7 +241,7 @@
     recording.datagrams += [110.0 + 0.01 * number for number in range(600)]
 
 
-BREAKS: dict[Callable[[Recording], None], str] = {
+BROKEN_RULES: dict[Callable[[Recording], None], str] = {
     second_answer: "second answer",
     unreadable_answer: "unreadable answer",
     late_answer: "late answer",
@@ -249,7 +251,7 @@
     killed_with_a_late_request: "connection ended over a request",
     first_attempt_rejected: "first attempt rejected",
     two_in_flight: "two attempts in flight",
-    two_in_flight_for_ever: "two attempts in flight",
+    second_attempt_while_the_first_never_ends: "two attempts in flight",
     many_attempts: "too many attempts",
     unknown_request: "unknown request",
     unsafe_retry: "unsafe retry",
@@ -276,38 +278,38 @@
 }
 
 
-@pytest.mark.parametrize("break_rule", BREAKS, ids=lambda break_rule: break_rule.__name__)
-def test_a_rule_that_is_broken_is_caught(break_rule: Callable[[Recording], None]) -> None:
-    recording = sound()
+@pytest.mark.parametrize("break_rule", BROKEN_RULES, ids=lambda break_rule: break_rule.__name__)
+def test_a_broken_rule_is_reported(break_rule: Callable[[Recording], None]) -> None:
+    recording = valid_recording()
     break_rule(recording)
-    assert BREAKS[break_rule] in found(recording)
+    assert BROKEN_RULES[break_rule] in violated_checks(recording)
 
 
-@pytest.mark.parametrize("break_rule", BREAKS, ids=lambda break_rule: break_rule.__name__)
-def test_a_violation_while_the_harness_ran_late_is_told_and_proves_nothing(
+@pytest.mark.parametrize("break_rule", BROKEN_RULES, ids=lambda break_rule: break_rule.__name__)
+def test_a_violation_while_the_harness_ran_late_is_marked_as_disturbed(
     break_rule: Callable[[Recording], None],
 ) -> None:
-    recording = sound()
+    recording = valid_recording()
     break_rule(recording)
     recording.late.append(Span(99.0, 140.0))
-    told = violations(recording, RULES, PAUSE_CHECKS)
-    assert BREAKS[break_rule] in {one.check for one in told} and not found(recording)
-    assert all(isinstance(one, Violation) and one.disturbed for one in told)
+    reported = violations(recording, RULES, PAUSE_CHECKS)
+    assert BROKEN_RULES[break_rule] in {one.check for one in reported} and not violated_checks(recording)
+    assert all(isinstance(one, Violation) and one.disturbed for one in reported)
 
 
-# --- what the rules allow is not a violation
+# --- recordings that the rules allow
 
 
 def killed_with_an_early_request(recording: Recording) -> None:
-    """A request of the first 0.7 s after SIGTERM whose deadline is beyond the kill."""
-    life = recording.lives[0]
-    life.killed_at, life.ended_at, life.status = 118.7, 118.71, -signal.SIGKILL
-    asked = request(500, "report", sent_at=115.5)
-    asked.lost_at = 118.71
-    recording.requests.append(asked)
+    """A request sent in the first 0.7 s after SIGTERM may be lost if its deadline is after SIGKILL."""
+    process = recording.processes[0]
+    process.killed_at, process.ended_at, process.status = 118.7, 118.71, -signal.SIGKILL
+    client_request = request(500, "report", sent_at=115.5)
+    client_request.lost_at = 118.71
+    recording.requests.append(client_request)
 
 
-def crossed_a_close(recording: Recording) -> None:
+def sent_while_the_connection_closed(recording: Recording) -> None:
     recording.requests[0].answers = []
     recording.requests[0].lost_at = recording.requests[0].sent_at + 0.03
 
@@ -318,9 +320,9 @@
 
 
 def answered_after_a_pause(recording: Recording) -> None:
-    asked = next(one for one in recording.requests if 106.15 < one.sent_at < 106.25)
-    asked.answers = []
-    served(asked, 108.6 - asked.sent_at)
+    client_request = next(one for one in recording.requests if 106.15 < one.sent_at < 106.25)
+    client_request.answers = []
+    served(client_request, 108.6 - client_request.sent_at)
 
 
 def retried_what_never_ran(recording: Recording) -> None:
@@ -334,13 +336,16 @@
 
 
 def reported_after_a_pause(recording: Recording) -> None:
-    """A holder that was stopped between its check and its report meets the fence."""
+    """A holder paused between its clock check and its report is stopped by the fencing token."""
     recording.duty_reports.append(DutyReport(108.45, 1, "r0"))
 
 
 def reported_by_a_holder_whose_voters_have_restarted(recording: Recording) -> None:
-    """Seed 34: all routers had restarted, and nobody remembered ballot 9 of a lease that was long over."""
-    recording.lives.append(Life(1, 102.5, 103.0, terminated_at=115.0, ended_at=116.0, status=0))
+    """Voters that restart forget old ballots, so a new holder may use a lower one.
+
+    In the soak's seed 34 all routers had restarted, and none remembered ballot 9 of an expired lease.
+    """
+    recording.processes.append(ProcessRecord(1, 102.5, 103.0, terminated_at=115.0, ended_at=116.0, status=0))
     recording.duty_reports.append(DutyReport(105.0, 1, "r2"))
 
 
@@ -348,7 +353,7 @@
     "allowed",
     [
         killed_with_an_early_request,
-        crossed_a_close,
+        sent_while_the_connection_closed,
         cancelled,
         answered_after_a_pause,
         retried_what_never_ran,
@@ -359,7 +364,7 @@
     ids=lambda allowed: allowed.__name__,
 )
 def test_what_the_rules_allow_passes(allowed: Callable[[Recording], None]) -> None:
-    recording = sound()
+    recording = valid_recording()
     allowed(recording)
     assert violations(recording, RULES, PAUSE_CHECKS) == []
 
@@ -367,7 +372,7 @@
 # --- schedules
 
 
-def test_a_seed_decides_its_schedule_wholly() -> None:
+def test_a_seed_determines_its_whole_schedule() -> None:
     plans = [make_plan(seed) for seed in range(1, 51)]
     assert [plan.text() for plan in plans] == [make_plan(plan.seed).text() for plan in plans]
     assert len({plan.text() for plan in plans}) == len(plans)
