--- a/grebeproxy/lab/soak/checks.py
+++ b/grebeproxy/lab/soak/checks.py
@@ -183,7 +183,7 @@
 ) -> Iterator[Violation]:
     for other in earlier:
         if other.finished_at is None or other.finished_at > began_at + TIMING_SLACK_S:
-            yield Violation("key out of order", began_at, f"{_describe(request)} before {other.txn} was over")
+            yield Violation("key out of order", began_at, f"{_describe(request)} before {other.txn} ended")
         for attempt in by_txn.get(other.txn, ()):
             if attempt.ended_at is None or attempt.ended_at > began_at:
                 yield Violation("key out of order", began_at, f"{_describe(request)}: {other.txn} in flight")
@@ -211,7 +211,7 @@
                 and attempt.began_at < until
                 and after > rules.drain_grace + TIMING_SLACK_S
             ):
-                text = f"{attempt.txn} to engine {attempt.engine} {after:.3f} s after the news"
+                text = f"{attempt.txn} to engine {attempt.engine} {after:.3f} s after its withdrawal"
                 yield Violation("sent to a draining engine", attempt.began_at, text)
 
 
