--- a/grebeproxy/lab/capacity/__init__.py
+++ b/grebeproxy/lab/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""The capacity page: recorded measurements, fitted slopes, budgets, and the check that they agree."""
+"""Renders and checks the capacity page, which compares fitted measurements with budgets."""
--- a/grebeproxy/lab/capacity/bounds.py
+++ b/grebeproxy/lab/capacity/bounds.py
@@ -10,22 +10,22 @@
 
 
 def problems_of(bound: Bound) -> list[str]:
-    """How a declared bound differs from the code; empty where it does not."""
+    """Return how a declared bound differs from the code, or an empty list if it matches."""
     where = f"bound {bound.module}.{bound.name or bound.line}"
     file = module_file(bound.module)
     if file is None:
-        return [f"{where}: there is no such module"]
+        return [f"{where}: the module does not exist"]
     if bound.line:
-        return [] if bound.line in file.read_text() else [f"{where}: the file has no such line"]
+        return [] if bound.line in file.read_text() else [f"{where}: the module does not contain this line"]
     try:
         actual = current_value(bound)
     except (AttributeError, KeyError):
-        return [f"{where}: there is no such constant"]
-    return [] if actual == bound.value else [f"{where}: the page says {bound.value}, the code {actual}"]
+        return [f"{where}: the constant does not exist"]
+    return [] if actual == bound.value else [f"{where}: the page says {bound.value}, the code says {actual}"]
 
 
 def current_value(bound: Bound) -> object:
-    """The value in the code: of a module's constant, or a dataclass field's default (``Class.field``)."""
+    """Return the value of a module's constant, or the default of a dataclass field (``Class.field``)."""
     name, _, field = bound.name.partition(".")
     constant = getattr(import_module(bound.module), name)
     if not field:
@@ -34,7 +34,7 @@
 
 
 def module_file(module: str) -> Path | None:
-    """The file of a module, without importing it; ``None`` where there is no such module."""
+    """Return the file of a module without importing the module, or ``None`` if it does not exist."""
     try:
         spec = find_spec(module)
     except ModuleNotFoundError:
--- a/grebeproxy/lab/capacity/checks.py
+++ b/grebeproxy/lab/capacity/checks.py
@@ -1,4 +1,7 @@
-"""Checks of the template and of the rows, whatever the written page says. Each returns problems as texts."""
+"""Checks the template and the rows, independently of the written page.
+
+Each check returns its problems as texts.
+"""
 
 from __future__ import annotations
 
@@ -13,30 +16,30 @@
 from grebeproxy.lab.capacity.rows import Row
 
 DIGIT = re.compile(r"\d")
-WITHOUT_FIGURES = re.compile(r"\{\{[^{}]+\}\}|`[^`]*`")  # parts of the template that may hold digits
-MODULE = re.compile(r"`(grebeproxy(?:\.\w+)+)`")
+MAY_CONTAIN_DIGITS = re.compile(r"\{\{[^{}]+\}\}|`[^`]*`")  # placeholders and code spans may contain digits
+MODULE_NAME = re.compile(r"`(grebeproxy(?:\.\w+)+)`")
 
 
 def template_problems(folder: Path, template: str) -> list[str]:
-    """Figures typed into the template, or into tables of the files it includes, instead of derived."""
+    """Find numbers typed by hand into the template or into tables of the files that it includes."""
     text = (folder / template).read_text()
-    problems = _typed_figures(template, text.splitlines())
+    problems = _hand_typed_numbers(template, text.splitlines())
     for content in PLACEHOLDER.findall(text):
         placeholder = Placeholder.parse(content)
         if placeholder.kind in INCLUDING and (folder / placeholder.name).exists():
             lines = (folder / placeholder.name).read_text().splitlines()
             table_lines = [line if line.startswith("|") else "" for line in lines]
-            problems += _typed_figures(placeholder.name, table_lines)
+            problems += _hand_typed_numbers(placeholder.name, table_lines)
     return problems
 
 
 def row_problems(rows: Iterable[Row], figures: Figures) -> list[str]:
-    """Rows whose mechanism names no module, whose evidence is lacking, or whose figure cannot be derived."""
+    """Find rows that name a nonexistent module, lack evidence or have a figure that cannot be derived."""
     problems: list[str] = []
     for row in rows:
-        for module in MODULE.findall(row.mechanism):
+        for module in MODULE_NAME.findall(row.mechanism):
             if not _is_module(module):
-                problems.append(f"{row.id}: its mechanism names {module}, which is no module")
+                problems.append(f"{row.id}: its mechanism names {module}, which is not a module")
         try:
             problems += evidence_problems(figures.of(row.id))
         except FigureError as error:
@@ -45,18 +48,18 @@
 
 
 def unused_roles(rows: Iterable[Row], template: str) -> list[str]:
-    """Roles of rows for which the template's text has no table."""
+    """Find roles that some row has and that the template shows no table for."""
     roles = sorted({row.role for row in rows})
     return [
         f"no table of the page shows the role {role}" for role in roles if f"table:{role}}}" not in template
     ]
 
 
-def _typed_figures(file: str, lines: Sequence[str]) -> list[str]:
+def _hand_typed_numbers(file: str, lines: Sequence[str]) -> list[str]:
     return [
-        f"{file}:{number}: a figure that follows from nothing: {line.strip()}"
+        f"{file}:{number}: the number is typed by hand, not derived: {line.strip()}"
         for number, line in enumerate(lines, 1)
-        if DIGIT.search(WITHOUT_FIGURES.sub("", line))
+        if DIGIT.search(MAY_CONTAIN_DIGITS.sub("", line))
     ]
 
 
--- a/grebeproxy/lab/capacity/command.py
+++ b/grebeproxy/lab/capacity/command.py
@@ -1,4 +1,4 @@
-"""``python -m grebeproxy.lab capacity``: write the capacity page, or check it against the records."""
+"""The command ``python -m grebeproxy.lab capacity``, which writes the capacity page or checks it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @click.command()
 @click.option(
-    "--check", is_flag=True, help="Write nothing; exit 1 unless each figure follows from the records."
+    "--check", is_flag=True, help="Write nothing; exit with 1 unless each figure follows from the records."
 )
 @click.option(
     "--docs",
@@ -23,7 +23,7 @@
     help="The documentation folder.",
 )
 def capacity(check: bool, docs: Path) -> None:
-    """Render docs/CAPACITY.md from docs/capacity, or check that it is what they give."""
+    """Render docs/CAPACITY.md from docs/capacity, or check that the page is up to date."""
     page = Page(docs)
     problems = page.problems()
     try:
--- a/grebeproxy/lab/capacity/errors.py
+++ b/grebeproxy/lab/capacity/errors.py
@@ -10,16 +10,16 @@
 
 
 class DeclarationError(CapacityError):
-    """A declaration that cannot be used; the text begins with the file's name."""
+    """A declaration is invalid. The message begins with the file's name."""
 
 
 class FitError(CapacityError):
-    """Points that the chosen model cannot be fitted to."""
+    """The chosen model cannot be fitted to the points."""
 
 
 class FigureError(CapacityError):
-    """A row whose value cannot be derived; the text begins with the row's id."""
+    """A row's value cannot be derived. The message begins with the row's id."""
 
 
 class PageError(CapacityError):
-    """A page that cannot be rendered; the text names the placeholder or the declaration."""
+    """The page cannot be rendered. The message names the placeholder or the declaration."""
--- a/grebeproxy/lab/capacity/figures.py
+++ b/grebeproxy/lab/capacity/figures.py
@@ -12,8 +12,8 @@
 from grebeproxy.lab.capacity.rows import MISSING_MECHANISM, Number, NumberOrName, RequestPath, Row, Stage
 from grebeproxy.lab.record import Record, RecordError, load_record
 
-MIN_SIZES = 4  # that a fit must rest on
-MIN_LARGEST_FRACTION = 0.1  # of the target that the largest measured size must reach
+MIN_SIZES = 4  # distinct sizes that a fit requires unless the row states an assumption
+MIN_LARGEST_FRACTION = 0.1  # minimum largest measured size, as a fraction of the target
 STRAIGHT_LINES = (Model.LINEAR, Model.AFFINE)
 ON_EVERY_PATH = (RequestPath.STATEMENT, RequestPath.CONTROL)
 
@@ -28,11 +28,11 @@
     target: float = 0.0
     budget: float | None = None
     record: Record | None = None
-    measured: float | None = None  # at the target itself, where that was one of the sizes
+    measured: float | None = None  # mean of the values measured at the target itself, if any
 
     @property
     def times_budget(self) -> float | None:
-        """The value divided by its budget, or ``None`` without a budget."""
+        """The value divided by its budget, or ``None`` if the row has no budget."""
         if self.budget is None:
             return None
         return self.value / self.budget if self.budget else math.inf
@@ -44,7 +44,7 @@
 
 
 class Figures:
-    """All figures by row id, each computed once; sums and products are computed from other rows."""
+    """Computes figures by row id and caches them. Sums and products are computed from other rows."""
 
     def __init__(self, rows: Sequence[Row], targets: Mapping[str, Number], folder: Path) -> None:
         self._rows = {row.id: row for row in rows}
@@ -55,13 +55,13 @@
         self._in_progress: set[str] = set()
 
     def of(self, row_id: str) -> Figure:
-        """The figure of a row. Raises ``FigureError``."""
+        """Return the figure of a row. Raises ``FigureError``."""
         if row_id not in self._figures:
             self._figures[row_id] = self._compute(row_id)
         return self._figures[row_id]
 
     def number(self, row_id: str, reference: NumberOrName) -> float:
-        """A number, the target of that name, or the value of the row of that name. Raises ``FigureError``."""
+        """Return a number itself, or the value of the target or row of that name. Raises ``FigureError``."""
         if not isinstance(reference, str):
             return float(reference)
         if reference in self._targets:
@@ -72,9 +72,9 @@
 
     def _compute(self, row_id: str) -> Figure:
         if row_id not in self._rows:
-            raise FigureError(f"{row_id}: there is no such row")
+            raise FigureError(f"{row_id}: the row does not exist")
         if row_id in self._in_progress:
-            raise FigureError(f"{row_id}: follows from itself")
+            raise FigureError(f"{row_id}: the row depends on itself")
         self._in_progress.add(row_id)
         try:
             return self._figure(self._rows[row_id])
@@ -95,13 +95,11 @@
             return factors / math.prod(self.number(row.id, part) for part in row.over)
         if row.assumption and row.value is not None:
             return self.number(row.id, row.value)
-        raise FigureError(
-            f"{row.id}: follows from nothing: no record, sum, product or assumption with a value"
-        )
+        raise FigureError(f"{row.id}: the row has no record, sum, product or assumption with a value")
 
     def _fitted(self, row: Row, budget: float | None) -> Figure:
         record = self._record(row)
-        points = [point for point in record.points if _selected(row, point.sizes, point.values)]
+        points = [point for point in record.points if _is_selected(row, point.sizes, point.values)]
         sizes = [point.sizes[row.axis] for point in points]
         try:
             fitted = fit(row.fit, sizes, [point.values[row.metric] for point in points])
@@ -121,13 +119,13 @@
         return self._records[row.record]
 
 
-def _selected(row: Row, sizes: Mapping[str, float], values: Mapping[str, float]) -> bool:
+def _is_selected(row: Row, sizes: Mapping[str, float], values: Mapping[str, float]) -> bool:
     matches = all(sizes.get(name) == size for name, size in row.where.items())
     return matches and row.metric in values and sizes.get(row.axis, -1) >= row.from_size
 
 
 def evidence_problems(figure: Figure) -> list[str]:
-    """What the rules for figures require of a row and it lacks."""
+    """Return what the evidence behind a figure lacks by the rules for figures."""
     row = figure.row
     problems = _declaration_problems(row)
     if figure.fit is not None:
@@ -138,7 +136,7 @@
 def _declaration_problems(row: Row) -> list[str]:
     problems: list[str] = []
     if row.mechanism == MISSING_MECHANISM and not row.without:
-        problems.append("the mechanism is missing, and `without` does not say what happens then")
+        problems.append("the mechanism is missing, and `without` does not state the consequence")
     if row.budget is not None and not row.budget_source:
         problems.append("the budget has no source")
     return problems
@@ -149,25 +147,27 @@
     problems: list[str] = []
     measured = sorted(set(fitted.sizes))
     if len(measured) < MIN_SIZES and not row.assumption:
-        problems.append(f"{len(measured)} sizes measured, {MIN_SIZES} are asked for")
+        problems.append(f"{len(measured)} sizes measured, at least {MIN_SIZES} required")
     if measured[-1] < MIN_LARGEST_FRACTION * figure.target and not row.short:
         problems.append(
             f"the largest size, {measured[-1]:g}, is below a tenth of the target {figure.target:g}"
         )
     if row.from_size and not row.why:
-        problems.append("small sizes are left out, and `why` does not say why")
+        problems.append("small sizes are left out, and `why` gives no reason")
     if row.fit not in STRAIGHT_LINES and not row.why:
-        problems.append(f"fitted as {row.fit.value}, and `why` does not say why")
+        problems.append(f"fitted as {row.fit.value}, and `why` gives no reason")
     return problems
 
 
 def ranking(figures: Sequence[Figure], stage: Stage) -> list[Figure]:
-    """Rows over budget at a stage, those on every statement's or every router's path first, by factor."""
+    """Return the rows over budget at a stage, those on the path of every statement or of every router's
+    control first, and otherwise those that exceed their budget by the largest factor first.
+    """
     over_budget = [
         figure for figure in figures if figure.over_budget and figure.row.stage in (Stage.BOTH, stage)
     ]
-    return sorted(over_budget, key=_rank)
+    return sorted(over_budget, key=_ranking_key)
 
 
-def _rank(figure: Figure) -> tuple[bool, float, str]:
+def _ranking_key(figure: Figure) -> tuple[bool, float, str]:
     return figure.row.path not in ON_EVERY_PATH, -(figure.times_budget or 0.0), figure.row.id
--- a/grebeproxy/lab/capacity/fit.py
+++ b/grebeproxy/lab/capacity/fit.py
@@ -1,7 +1,7 @@
-"""Least-squares fits of measured points, and how far beyond them they are extrapolated.
+"""Least-squares fits of measured points, and their extrapolation to larger sizes.
 
-The squares are those of relative errors: sizes span decades, and with absolute errors the largest size alone
-would determine the fit.
+Fits minimize squared relative errors. Sizes span orders of magnitude, so with absolute errors the largest
+size alone would determine the fit.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class Curve(NamedTuple):
-    """Coefficients of a fitted model: see ``Fit``."""
+    """Coefficients of a fitted model, with the meaning that they have in ``Fit``."""
 
     intercept: float
     slope: float
@@ -60,7 +60,7 @@
     sizes: tuple[float, ...]
 
     def at(self, size: float) -> float:
-        """The fitted value at a size."""
+        """Return the fitted value at a size."""
         if self.model is Model.POWER:
             return float(self.slope * size**self.exponent)
         if self.model is Model.CONSTANT:
@@ -68,7 +68,7 @@
         return float(self.intercept + self.slope * _FUNCTIONS[self.model](np.array([size]))[0])
 
     def extrapolation(self, size: float) -> float:
-        """A size as a multiple of the largest measured size."""
+        """Return a size as a multiple of the largest measured size."""
         return size / max(self.sizes)
 
 
@@ -78,7 +78,7 @@
         raise FitError("there are no points to fit")
     x = np.array(sizes, dtype=np.float64)
     y = np.array(values, dtype=np.float64)
-    curve = _power(x, y) if model is Model.POWER else _least_squares(model, x, y)
+    curve = _fit_power_law(x, y) if model is Model.POWER else _fit_coefficients(model, x, y)
     fitted = Fit(model, curve.intercept, curve.slope, curve.exponent, 0.0, tuple(sizes))
     return replace(fitted, residual=_relative_rms(fitted, x, y))
 
@@ -115,43 +115,43 @@
 }
 
 
-def _least_squares(model: Model, x: Vector, y: Vector) -> Curve:
-    """Coefficients with the least relative errors; those that the model lacks are zero."""
+def _fit_coefficients(model: Model, x: Vector, y: Vector) -> Curve:
+    """Fit the coefficients with the least relative errors. Coefficients that the model lacks are zero."""
     if model in NEEDS_SIZES_ABOVE_ZERO and (x <= 0).any():
         raise FitError(f"{model.value} needs sizes above zero")
     ones = np.ones_like(x)
     if model is Model.CONSTANT:
-        (intercept,) = _weighted(ones[:, None], y)
+        (intercept,) = _relative_least_squares(ones[:, None], y)
         return Curve(float(intercept), 0.0)
     column = _FUNCTIONS[model](x)
     if model is Model.LINEAR:
-        (slope,) = _weighted(column[:, None], y)
+        (slope,) = _relative_least_squares(column[:, None], y)
         return Curve(0.0, float(slope))
-    intercept, slope = _weighted(np.column_stack([ones, column]), y)
+    intercept, slope = _relative_least_squares(np.column_stack([ones, column]), y)
     negligible = abs(intercept) < ROUNDING_ERROR * np.abs(y).max()
     return Curve(0.0 if negligible else float(intercept), float(slope))
 
 
-def _weighted(columns: Vector, y: Vector) -> Vector:
-    """The factors of the columns with the least squares of relative errors."""
-    weights = 1.0 / _scale(y)
+def _relative_least_squares(columns: Vector, y: Vector) -> Vector:
+    """Return the factors of the columns that minimize the squared relative errors."""
+    weights = 1.0 / _relative_error_scale(y)
     factors, *_ = np.linalg.lstsq(columns * weights[:, None], y * weights, rcond=None)
     return np.asarray(factors, dtype=np.float64)
 
 
-def _scale(y: Vector) -> Vector:
-    """What errors are relative to: the absolute value of each point, or one where that is zero."""
+def _relative_error_scale(y: Vector) -> Vector:
+    """Return the divisor of each point's relative error: its absolute value, or 1 for a value of zero."""
     return np.where(y == 0, 1.0, np.abs(y))
 
 
-def _power(x: Vector, y: Vector) -> Curve:
-    """A power law, fitted on logarithms."""
+def _fit_power_law(x: Vector, y: Vector) -> Curve:
+    """Fit a power law as a straight line through the logarithms."""
     if (x <= 0).any() or (y <= 0).any():
-        raise FitError("a power needs sizes and values above zero")
+        raise FitError("a power law needs sizes and values above zero")
     exponent, log_factor = np.polyfit(np.log(x), np.log(y), 1)
     return Curve(0.0, float(np.exp(log_factor)), float(exponent))
 
 
 def _relative_rms(fitted: Fit, x: Vector, y: Vector) -> float:
     expected = np.array([fitted.at(size) for size in x])
-    return float(np.sqrt(np.mean(((y - expected) / _scale(y)) ** 2)))
+    return float(np.sqrt(np.mean(((y - expected) / _relative_error_scale(y)) ** 2)))
--- a/grebeproxy/lab/capacity/numbers.py
+++ b/grebeproxy/lab/capacity/numbers.py
@@ -1,16 +1,16 @@
-"""How numbers are written on the page."""
+"""Formats numbers for the page."""
 
 from __future__ import annotations
 
 import math
 
 SIGNIFICANT_DIGITS = 3
-MAX_WHOLE = 1e15  # whole numbers below it are exact as floats, and written with all their digits
+MAX_WHOLE = 1e15  # whole numbers below this are exact as floats and are written with all digits
 PERCENT = 100
 
 
 def format_number(value: float) -> str:
-    """A number with three significant digits, or with all digits of a whole number."""
+    """Format a number with three significant digits, or a whole number with all its digits."""
     if math.isinf(value):
         return "without bound"
     if value == 0:
@@ -24,10 +24,10 @@
 
 
 def format_with_unit(value: float, unit: str) -> str:
-    """A number and its unit, which may be empty."""
+    """Format a number and its unit, which may be empty."""
     return f"{format_number(value)} {unit}".rstrip()
 
 
 def format_percent(fraction: float) -> str:
-    """A fraction as a percentage."""
+    """Format a fraction as a percentage."""
     return f"{fraction * PERCENT:.1f}%"
--- a/grebeproxy/lab/capacity/page.py
+++ b/grebeproxy/lab/capacity/page.py
@@ -1,6 +1,6 @@
-"""The capacity page: rendered from its template, the declared rows and the records, and compared with them.
+"""Renders the capacity page from its template, the declared rows and the records, and checks it.
 
-Placeholders of the template, ``docs/capacity/page.md``, in double braces:
+The template, ``docs/capacity/page.md``, has these placeholders in double braces:
 
 - ``target:NAME``, ``figure:ROW.FIELD`` (``value``, ``budget``, ``times``, ``slope``, ``residual``,
   ``beyond``, or ``measured`` where the target was one of the sizes);
@@ -8,7 +8,7 @@
   ``before`` or ``now`` as the stage;
 - ``bounds``, ``records``;
 - ``include:FILE``, a file of ``docs/capacity`` whose placeholders are replaced as well;
-  ``optional:FILE``, the same, or a sentence where it is not there.
+  ``optional:FILE``, which does the same, or inserts a sentence if the file does not exist.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
     @property
     def folder(self) -> Path:
-        """Where the records, the template and the declarations are."""
+        """The folder of the records, the template and the declarations."""
         return self.docs / FOLDER
 
     @cached_property
@@ -57,7 +57,7 @@
 
     @cached_property
     def targets(self) -> dict[str, Number]:
-        """The fleet's target."""
+        """The target sizes of the fleet by name."""
         return load_targets(self.folder / "targets.toml")
 
     @cached_property
@@ -66,14 +66,14 @@
         return Figures(self.rows, self.targets, self.folder)
 
     def render(self) -> str:
-        """The page. Raises ``PageError``."""
+        """Return the text of the page. Raises ``PageError``."""
         try:
             return self._filled((self.folder / TEMPLATE).read_text())
         except (OSError, DeclarationError, FigureError, RecordError) as error:
             raise PageError(str(error)) from None
 
     def problems(self) -> list[str]:
-        """Problems of the declarations and of the evidence, whatever the written page says."""
+        """Return problems of the declarations and the evidence, independently of the written page."""
         try:
             template = (self.folder / TEMPLATE).read_text()
             return [
@@ -86,7 +86,7 @@
             return [str(error)]
 
     def differences(self) -> list[str]:
-        """A line diff of the written page and what the records give. Raises ``PageError``."""
+        """Return a line diff from the written page to the rendered page. Raises ``PageError``."""
         path = self.docs / PAGE
         written = path.read_text().splitlines() if path.exists() else []
         rendered = self.render().splitlines()
@@ -113,12 +113,12 @@
             "optional": self._included_if_present,
         }
         if placeholder.kind not in renderers:
-            raise PageError(f"{{{{{content}}}}}: not known")
+            raise PageError(f"{{{{{content}}}}}: unknown placeholder")
         return renderers[placeholder.kind](placeholder.name)
 
     def _target(self, name: str) -> Number:
         if name not in self.targets:
-            raise PageError(f"{{{{target:{name}}}}}: there is no such target")
+            raise PageError(f"{{{{target:{name}}}}}: the target does not exist")
         return self.targets[name]
 
     def _figure_text(self, name: str) -> str:
@@ -143,7 +143,7 @@
 
     def _role_tables(self, role: str) -> str:
         if role not in ROLES:
-            raise PageError(f"{{{{table:{role}}}}}: there is no such role")
+            raise PageError(f"{{{{table:{role}}}}}: the role does not exist")
         figures = [self.figures.of(row.id) for row in self.rows if row.role == role]
         if not figures:
             return "No row is declared for this role."
--- a/grebeproxy/lab/capacity/placeholders.py
+++ b/grebeproxy/lab/capacity/placeholders.py
@@ -1,4 +1,4 @@
-"""Placeholders of the page's template, in double braces: a kind, and for most kinds a name after a colon."""
+"""Parses placeholders of the template. A placeholder is a kind and, for most kinds, a colon and a name."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from typing import NamedTuple
 
 PLACEHOLDER = re.compile(r"\{\{([^{}]+)\}\}")
-INCLUDING = ("include", "optional")  # kinds that are replaced by another file
+INCLUDING = ("include", "optional")  # kinds that insert another file
 
 
 class Placeholder(NamedTuple):
-    """One placeholder, such as ``target:routers``; ``name`` is empty where there is no colon."""
+    """One placeholder, such as ``target:routers``; ``name`` is empty without a colon."""
 
     kind: str
     name: str
 
     @classmethod
     def parse(cls, content: str) -> Placeholder:
-        """The placeholder of the text between the braces."""
+        """Parse the text between the braces."""
         kind, _, name = content.strip().partition(":")
         return cls(kind, name)
--- a/grebeproxy/lab/capacity/rows.py
+++ b/grebeproxy/lab/capacity/rows.py
@@ -28,7 +28,7 @@
 
 
 class Stage(Enum):
-    """Whether a row holds only before, only with, or both before and with the mechanism that was chosen."""
+    """Whether a row holds before the chosen mechanism was introduced, with the mechanism, or both."""
 
     BOTH = "both"
     BEFORE = "before"
@@ -36,7 +36,7 @@
 
 
 class RequestPath(Enum):
-    """What waits for the work that a row measures."""
+    """The path that waits for the work that a row measures."""
 
     STATEMENT = "statement"
     CONTROL = "control"
@@ -47,8 +47,8 @@
 class Row:
     """One row of the page.
 
-    A row is fitted (``record``, ``metric``, ``axis``), an assumption (``assumption``, ``value``), a sum
-    (``sum``) or a product of numbers, targets and rows (``product``, divided by all of ``over``).
+    Its value is fitted (``record``, ``metric``, ``axis``), assumed (``assumption``, ``value``), a sum of rows
+    (``sum``), or a product of numbers, targets and rows (``product``, divided by all of ``over``).
     """
 
     id: str
@@ -65,7 +65,7 @@
     where: Mapping[str, Number] = field(default_factory=dict)
     from_size: Number = 0  # points of smaller sizes are left out
     fit: Model = Model.AFFINE
-    why: str = ""  # reason for ``from_size`` and for a fit that is no straight line
+    why: str = ""  # reason for ``from_size`` and for a fit that is not a straight line
     metric_unit: str = ""
     target: NumberOrName = 0
     factor: Number = 1
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page: fits, figures, and a check that fails on a figure that follows from nothing."""
+"""Tests of the capacity page: fits, figures and the check of the written page."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def docs(tmp_path: Path) -> Path:
-    """A copy of the committed page and of all that it follows from."""
+    """Copy the committed page and the files that it is rendered from."""
     copy = tmp_path / "docs"
     copy.mkdir()
     shutil.copy(DOCS / "CAPACITY.md", copy)
@@ -43,8 +43,8 @@
 
 
 def row(**fields: object) -> Row:
-    usual = {"id": "a", "role": "r", "what": "CPU", "title": "t", "unit": "us", "mechanism": "m"}
-    return Row(**{**usual, **fields})  # type: ignore[arg-type]
+    defaults = {"id": "a", "role": "r", "what": "CPU", "title": "t", "unit": "us", "mechanism": "m"}
+    return Row(**{**defaults, **fields})  # type: ignore[arg-type]
 
 
 def figures(folder: Path, *rows: Row, **targets: float) -> Figures:
@@ -65,20 +65,20 @@
     assert result.exit_code == 0, result.output
 
 
-def test_a_copy_is_checked_as_well(docs: Path) -> None:
+def test_a_copy_of_the_page_passes_the_check(docs: Path) -> None:
     assert check(docs).exit_code == 0
 
 
 def table_figures(page: str) -> list[re.Match[str]]:
-    """Numbers with a digit above zero, in lines of tables."""
+    """Find the numbers in the lines of tables."""
     return [
         match
         for match in re.finditer(r"(?m)(?<=[ (])\d[\d,]*(?:\.\d+)?(?=[ %])", page)
-        if line_of(page, match)
+        if is_in_table(page, match)
     ]
 
 
-def line_of(page: str, match: re.Match[str]) -> bool:
+def is_in_table(page: str, match: re.Match[str]) -> bool:
     return page[page.rfind("\n", 0, match.start()) + 1] == "|"
 
 
@@ -113,14 +113,14 @@
     assert "deciding one statement" in result.output
 
 
-def test_a_record_that_is_not_there_fails_the_check(docs: Path) -> None:
+def test_a_missing_record_fails_the_check(docs: Path) -> None:
     (docs / "capacity" / "statement-before.json").unlink()
     result = check(docs)
     assert result.exit_code == 1
     assert "statement-before.json" in result.output
 
 
-def test_a_page_that_is_not_there_fails_the_check(docs: Path) -> None:
+def test_a_missing_page_fails_the_check(docs: Path) -> None:
     (docs / "CAPACITY.md").unlink()
     assert check(docs).exit_code == 1
 
@@ -132,7 +132,7 @@
         template.write_text(before + f"\n{line}\n")
         Page(docs).write()
         result = check(docs)
-        assert result.exit_code == 1 and "follows from nothing" in result.output
+        assert result.exit_code == 1 and "typed by hand, not derived" in result.output
         template.write_text(before)
 
 
@@ -162,11 +162,11 @@
     Page(docs).write()
     result = check(docs)
     assert result.exit_code == 1
-    assert "the page says 1025, the code 1024" in result.output
+    assert "the page says 1025, the code says 1024" in result.output
 
 
 @pytest.mark.parametrize("placeholder", ["figure:nothing.value", "target:nothing", "what", "table:nobody"])
-def test_a_placeholder_that_names_nothing_fails(docs: Path, placeholder: str) -> None:
+def test_an_unknown_placeholder_fails_the_check(docs: Path, placeholder: str) -> None:
     with (docs / "capacity" / "page.md").open("a") as template:
         template.write(f"\n{{{{{placeholder}}}}}\n")
     assert check(docs).exit_code == 1
@@ -176,9 +176,9 @@
 
 
 @given(intercept=st.floats(-100, 100), slope=st.floats(0.1, 100))
-def test_a_straight_line_is_found_again(intercept: float, slope: float) -> None:
-    found = fit(Model.AFFINE, SIZES, [intercept + slope * size for size in SIZES])
-    assert found.at(1000.0) == pytest.approx(intercept + slope * 1000.0, rel=1e-6, abs=1e-6)
+def test_affine_fit_recovers_a_straight_line(intercept: float, slope: float) -> None:
+    fitted = fit(Model.AFFINE, SIZES, [intercept + slope * size for size in SIZES])
+    assert fitted.at(1000.0) == pytest.approx(intercept + slope * 1000.0, rel=1e-6, abs=1e-6)
 
 
 @pytest.mark.parametrize(
@@ -191,11 +191,11 @@
         (Model.INVERSE, lambda n: 3.0 + 5.0 / n),
     ],
 )
-def test_a_model_finds_its_own_curve_without_residual(model: Model, value: Callable[[float], float]) -> None:
-    found = fit(model, SIZES, [value(size) for size in SIZES])
-    assert found.at(320.0) == pytest.approx(value(320.0))
-    assert found.residual < 1e-9
-    assert found.extrapolation(320.0) == 2.0
+def test_a_fit_recovers_its_own_curve_without_residual(model: Model, value: Callable[[float], float]) -> None:
+    fitted = fit(model, SIZES, [value(size) for size in SIZES])
+    assert fitted.at(320.0) == pytest.approx(value(320.0))
+    assert fitted.residual < 1e-9
+    assert fitted.extrapolation(320.0) == 2.0
 
 
 def test_a_wrong_model_leaves_a_residual() -> None:
@@ -203,12 +203,12 @@
 
 
 def test_small_sizes_count_as_much_as_large_ones() -> None:
-    found = fit(Model.AFFINE, (1.0, 10.0, 100.0, 1000.0, 10000.0), (2.0, 11.0, 101.0, 1001.0, 20001.0))
-    assert found.at(1.0) == pytest.approx(2.0, rel=0.3)
+    fitted = fit(Model.AFFINE, (1.0, 10.0, 100.0, 1000.0, 10000.0), (2.0, 11.0, 101.0, 1001.0, 20001.0))
+    assert fitted.at(1.0) == pytest.approx(2.0, rel=0.3)
 
 
 @pytest.mark.parametrize("model", [Model.LOG, Model.N_LOG_N, Model.INVERSE, Model.POWER])
-def test_a_size_of_zero_is_rejected_where_it_cannot_be(model: Model) -> None:
+def test_a_size_of_zero_is_rejected_by_models_that_need_sizes_above_zero(model: Model) -> None:
     with pytest.raises(FitError):
         fit(model, [0.0, 1.0, 2.0, 3.0], [1.0, 2.0, 3.0, 4.0])
 
@@ -218,8 +218,10 @@
 
 def test_a_fitted_row_is_slope_times_target_times_factor(tmp_path: Path) -> None:
     save_record(tmp_path, lambda n: 2.0 * n)
-    one = row(record="made.json", metric="cpu", axis="n", target="fleet", factor=3, budget="cpu_budget")
-    figure = figures(tmp_path, one, fleet=400, cpu_budget=1200).of("a")
+    fitted_row = row(
+        record="made.json", metric="cpu", axis="n", target="fleet", factor=3, budget="cpu_budget"
+    )
+    figure = figures(tmp_path, fitted_row, fleet=400, cpu_budget=1200).of("a")
     assert figure.value == pytest.approx(2400.0)
     assert figure.times_budget == pytest.approx(2.0) and figure.over_budget
     assert figure.measured is None
@@ -227,8 +229,8 @@
 
 def test_a_value_measured_at_the_target_itself_is_reported(tmp_path: Path) -> None:
     save_record(tmp_path, lambda n: 2.0 * n if n < 160 else 500.0)
-    one = row(record="made.json", metric="cpu", axis="n", target=160, factor=3)
-    assert figures(tmp_path, one).of("a").measured == 1500.0
+    fitted_row = row(record="made.json", metric="cpu", axis="n", target=160, factor=3)
+    assert figures(tmp_path, fitted_row).of("a").measured == 1500.0
 
 
 @pytest.mark.parametrize(
@@ -238,17 +240,17 @@
         ({"metric": "memory"}, "no points"),
         ({"axis": "m"}, "no points"),
         ({"target": "fleet"}, "neither a target nor a row"),
-        ({"record": ""}, "follows from nothing"),
-        ({"record": "", "sum": ("a",)}, "follows from itself"),
+        ({"record": ""}, "no record, sum, product or assumption"),
+        ({"record": "", "sum": ("a",)}, "depends on itself"),
     ],
 )
-def test_a_row_that_follows_from_nothing_is_an_error(
+def test_a_row_without_a_derivable_value_is_an_error(
     tmp_path: Path, changes: dict[str, object], problem: str
 ) -> None:
     save_record(tmp_path, lambda n: n)
-    one = row(**{"record": "made.json", "metric": "cpu", "axis": "n", "target": 200, **changes})
+    fitted_row = row(**{"record": "made.json", "metric": "cpu", "axis": "n", "target": 200, **changes})
     with pytest.raises(FigureError, match=problem):
-        figures(tmp_path, one).of("a")
+        figures(tmp_path, fitted_row).of("a")
 
 
 @pytest.mark.parametrize(
@@ -259,20 +261,20 @@
         (SIZES[:3], {"assumption": "no more sizes fit"}, None),
         (SIZES, {"target": 1601}, "below a tenth"),
         (SIZES, {"target": 1601, "short": "descriptors end there"}, None),
-        (SIZES, {"fit": Model.POWER}, "`why` does not say"),
+        (SIZES, {"fit": Model.POWER}, "fitted as power, and `why` gives no reason"),
         (SIZES, {"from_size": 20}, "small sizes are left out"),
         (SIZES, {"from_size": 20, "why": "another proportion"}, None),
         (SIZES, {"from_size": 40, "why": "another proportion"}, "3 sizes measured"),
-        (SIZES, {"mechanism": "missing"}, "`without` does not say"),
+        (SIZES, {"mechanism": "missing"}, "`without` does not state the consequence"),
         (SIZES, {"budget": 5}, "no source"),
     ],
 )
-def test_the_evidence_behind_a_row(
+def test_missing_evidence_behind_a_row_is_reported(
     tmp_path: Path, sizes: tuple[float, ...], changes: dict[str, object], problem: str | None
 ) -> None:
     save_record(tmp_path, lambda n: n, sizes)
-    one = row(**{"record": "made.json", "metric": "cpu", "axis": "n", "target": 200, **changes})
-    problems = evidence_problems(figures(tmp_path, one).of("a"))
+    fitted_row = row(**{"record": "made.json", "metric": "cpu", "axis": "n", "target": 200, **changes})
+    problems = evidence_problems(figures(tmp_path, fitted_row).of("a"))
     assert (problem in problems[0]) if problem else not problems
 
 
@@ -283,38 +285,38 @@
         row(id="c", sum=("a", "b")),
         row(id="d", product=("a", "engines", 10), over=("b",)),
     )
-    worked_out = figures(tmp_path, *rows, engines=30)
-    assert worked_out.of("c").value == 32
-    assert worked_out.of("d").value == 20
+    computed = figures(tmp_path, *rows, engines=30)
+    assert computed.of("c").value == 32
+    assert computed.of("d").value == 20
 
 
 def test_the_ranking_puts_the_path_of_all_statements_and_control_first(tmp_path: Path) -> None:
-    def over(name: str, path: RequestPath, value: float, stage: Stage = Stage.BOTH) -> Row:
+    def row_with_budget(name: str, path: RequestPath, value: float, stage: Stage = Stage.BOTH) -> Row:
         return row(id=name, path=path, assumption="guessed", value=value, budget=1, stage=stage)
 
     rows = (
-        over("other", RequestPath.OTHER, 100),
-        over("control", RequestPath.CONTROL, 3),
-        over("statement", RequestPath.STATEMENT, 5),
-        over("before", RequestPath.STATEMENT, 9, Stage.BEFORE),
-        over("fits", RequestPath.STATEMENT, 0.5),
+        row_with_budget("other", RequestPath.OTHER, 100),
+        row_with_budget("control", RequestPath.CONTROL, 3),
+        row_with_budget("statement", RequestPath.STATEMENT, 5),
+        row_with_budget("before", RequestPath.STATEMENT, 9, Stage.BEFORE),
+        row_with_budget("fits", RequestPath.STATEMENT, 0.5),
     )
-    worked_out = figures(tmp_path, *rows)
-    of_all = [worked_out.of(one.id) for one in rows]
-    assert [f.row.id for f in ranking(of_all, Stage.NOW)] == ["statement", "control", "other"]
-    assert next(iter(ranking(of_all, Stage.BEFORE))).row.id == "before"
+    computed = figures(tmp_path, *rows)
+    all_figures = [computed.of(declared.id) for declared in rows]
+    assert [f.row.id for f in ranking(all_figures, Stage.NOW)] == ["statement", "control", "other"]
+    assert next(iter(ranking(all_figures, Stage.BEFORE))).row.id == "before"
 
 
 @pytest.mark.parametrize(
     ("text", "problem"),
     [
-        ('[[row]]\nid = "a"', "missing: "),
+        ('[[row]]\nid = "a"', "missing keys: "),
         ('[[row]]\nid = "a"\nfit = "cubic"', "cubic"),
-        ('[[row]]\nid = "a"\ncolour = 1', "not known: colour"),
+        ('[[row]]\nid = "a"\ncolour = 1', "unknown keys: colour"),
         ("[row", "bad.toml"),
     ],
 )
-def test_a_declaration_that_cannot_be_used(tmp_path: Path, text: str, problem: str) -> None:
+def test_an_invalid_declaration_is_rejected(tmp_path: Path, text: str, problem: str) -> None:
     (tmp_path / "bad.toml").write_text(text)
     with pytest.raises(DeclarationError, match=problem):
         load_rows(tmp_path)
@@ -328,7 +330,7 @@
         Bound("grebeproxy.net.admission", "text", line="LINK_SHARE = 3"),
     ],
 )
-def test_a_bound_as_in_the_code(bound: Bound) -> None:
+def test_a_bound_that_matches_the_code(bound: Bound) -> None:
     assert problems_of(bound) == []
 
 
