--- a/grebeproxy/lab/capacity/measure/clients.py
+++ b/grebeproxy/lab/capacity/measure/clients.py
@@ -12,9 +12,9 @@
 from grebeproxy.lab.capacity.measure.process import HOST, RouterFailedError, RouterProcess
 from grebeproxy.lab.capacity.measure.workload import Statements
 
-MAX_START_SECONDS = 60.0  # from a router's start until it must serve
-CONNECTIONS_AT_ONCE = 100  # that are opened concurrently
-MAX_ANSWER_SECONDS = 30.0
+MAX_START_SECONDS = 60.0  # the longest time from a router's start until it serves
+CONNECTIONS_AT_ONCE = 100  # connections opened concurrently
+MAX_ANSWER_SECONDS = 30.0  # the longest wait for pending answers
 ANSWER_POLL_SECONDS = 0.01
 TICK_SECONDS = 0.002  # between two checks of which statements are due
 
@@ -26,7 +26,7 @@
     rejected: int
 
     def since(self, earlier: Answers) -> Answers:
-        """What was answered after an earlier reading."""
+        """Return the answers received after an earlier reading."""
         return Answers(self.served - earlier.served, self.rejected - earlier.rejected)
 
 
@@ -47,7 +47,7 @@
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Count answers."""
+        """Count the answers and record their latencies."""
         self._unpacker.feed(data)
         for _, message, error, _result in self._unpacker:
             self.latencies.append(time.monotonic() - self.pending.pop(message))
@@ -57,7 +57,7 @@
                 self.rejected += 1
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Either side has closed the connection."""
+        """Record that the connection is closed, by either side."""
         self.closed = True
 
     def send_statement(self, statements: Statements) -> None:
@@ -83,13 +83,13 @@
 
 
 async def connect(port: int) -> ClientConnection:
-    """A client's connection. Raises ``OSError``."""
+    """Open a client's connection; raises ``OSError`` if the router does not accept it."""
     _, client = await asyncio.get_running_loop().create_connection(ClientConnection, HOST, port)
     return client
 
 
 async def open_connections(port: int, count: int) -> list[ClientConnection]:
-    """Open connections; each has sent a health check that was answered."""
+    """Open connections, send a health check on each, and wait for the answers."""
     clients: list[ClientConnection] = []
     while len(clients) < count:
         batch = min(CONNECTIONS_AT_ONCE, count - len(clients))
@@ -116,7 +116,7 @@
 async def wait_until_serving(router: RouterProcess, port: int) -> float:
     """Wait for the first answered health check; returns the seconds since the router's start.
 
-    Raises ``RouterFailedError`` where the router ends, or does not serve within ``MAX_START_SECONDS``.
+    Raises ``RouterFailedError`` if the router ends, or does not serve within ``MAX_START_SECONDS``.
     """
     while time.monotonic() < router.started_at + MAX_START_SECONDS:
         router.check()
@@ -132,13 +132,13 @@
         client.close()
         if client.served:
             return seconds
-    raise RouterFailedError(f"does not serve after {MAX_START_SECONDS:g} s: {router.log()}")
+    raise RouterFailedError(f"router does not serve after {MAX_START_SECONDS:g} s: {router.log()}")
 
 
 async def send_at_rate(
     clients: list[ClientConnection], statements: Statements, rate: float, seconds: float
 ) -> None:
-    """Send statements at an even rate over the clients in turn, whether they are answered or not."""
+    """Send statements at an even rate, round robin over the clients, without waiting for answers."""
     started_at = time.monotonic()
     sent = 0
     while (now := time.monotonic()) < started_at + seconds:
@@ -149,6 +149,6 @@
 
 
 def total_answers(clients: Iterable[ClientConnection]) -> Answers:
-    """Answers of all clients so far."""
+    """Return the number of answers that all clients have received so far."""
     counted = list(clients)
     return Answers(sum(client.served for client in counted), sum(client.rejected for client in counted))
--- a/grebeproxy/lab/capacity/measure/command.py
+++ b/grebeproxy/lab/capacity/measure/command.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """One subcommand: ``run`` measures at the sizes, with a seed, and returns a point for each."""
+    """One subcommand; ``run`` takes the sizes and a seed, and returns one point for each size."""
 
     name: str
     summary: str
@@ -26,32 +26,32 @@
 MEASUREMENTS = (
     Measurement(
         "statement",
-        "CPU of one statement by part, against engines, at 200 and 2,400 routers.",
+        "CPU of one statement by part, by number of engines, at 200 and 2,400 routers.",
         statement.ENGINES,
         lambda sizes, seed: statement.measure(sizes, seed=seed),
     ),
     Measurement(
         "routers",
-        "CPU of deciding one statement, against routers, before 400 engines.",
+        "CPU of deciding one statement, by number of routers, with 400 engines.",
         statement.ROUTERS_OF_ONE_LIST,
         statement.against_routers,
     ),
     Measurement(
         "rates",
-        "CPU of a complete statement in a real process against statements a second, with few engines.",
+        "CPU of a complete statement in a real process, by statements per second, with few engines.",
         end_to_end.RATES,
         end_to_end.against_rate,
     ),
     Measurement(
         "whole",
-        "CPU of a complete statement in a real process against the fleet's engines, few a second.",
+        "CPU of a complete statement in a real process, by number of engines, at 20 statements per second.",
         end_to_end.ENGINES,
         end_to_end.against_engines,
     ),
     Measurement(
         "busy",
-        "CPU of a complete statement in a real process against the fleet's engines, "
-        "at 2,083 statements a second.",
+        "CPU of a complete statement in a real process, by number of engines, "
+        "at 2,083 statements per second.",
         end_to_end.ENGINES,
         lambda sizes, seed: end_to_end.against_engines(sizes, seed, end_to_end.RATES[-1]),
     ),
@@ -75,7 +75,7 @@
     ),
     Measurement(
         "cold",
-        "What engines in slow start get from all routers together, over their budget, on a simulated clock.",
+        "Work that all routers together send to engines in slow start, relative to their budget (simulated).",
         slow_start.ROUTERS,
         slow_start.measure,
     ),
@@ -88,7 +88,7 @@
 
 
 def _command(measurement: Measurement) -> click.Command:
-    """The subcommand of a measurement."""
+    """Build the subcommand of a measurement."""
 
     @click.command(measurement.name, help=measurement.summary)
     @click.option("--sizes", type=SizeList(0), default=measurement.sizes, help="Sizes to measure at.")
--- a/grebeproxy/lab/capacity/measure/connections.py
+++ b/grebeproxy/lab/capacity/measure/connections.py
@@ -1,4 +1,4 @@
-"""Memory and CPU of client connections at a real router process, idle and when all are busy."""
+"""Memory and CPU that client connections take in a real router process, idle and all busy."""
 
 from __future__ import annotations
 
@@ -25,28 +25,26 @@
 CONNECTIONS = (500, 1000, 2000, 4000, 7500)
 ENGINES = 16
 ROUTERS = 12
-IDLE_WINDOW = 2.0  # seconds, below the router's idle timeout of a client that has sent a request
-ENGINE_DELAY = 0.003  # seconds
-BUSY_WINDOW = (
-    6.0  # seconds in which memory is read while statements are pending; later answers are not awaited
-)
-MEMORY_POLL_SECONDS = 0.02
+IDLE_WINDOW = 2.0  # seconds, below the router's idle timeout for a client that has sent a request
+ENGINE_DELAY = 0.003  # seconds until an engine answers
+BUSY_WINDOW = 6.0  # seconds of reading memory while statements are pending; later answers are not counted
+MEMORY_POLL_SECONDS = 0.02  # between two readings of memory
 
 
 @dataclass(frozen=True, slots=True)
 class Readings:
-    """What was read of one process; memory in mebibytes above that without connections."""
+    """Readings of one process; memory is in mebibytes above that of the process without connections."""
 
     connect_seconds: float
     idle_mb: float
-    idle_cpu: float  # CPU seconds a second
+    idle_cpu: float  # CPU seconds per second
     open_connections: int
     busy_mb: float
     answers: Answers
 
 
 def measure(connections: Iterable[int] = CONNECTIONS, seed: int = 1) -> list[Point]:
-    """One point for each number of connections, against the same process without connections."""
+    """Return one point for each number of connections, relative to the process without connections."""
     return [_point(count, seed) for count in connections]
 
 
@@ -91,7 +89,7 @@
 async def _peak_memory_mb(
     router: RouterProcess, clients: list[ClientConnection], statements: Statements
 ) -> float:
-    """The greatest resident memory while each connection has a statement pending."""
+    """Send a statement on each connection; return the peak resident memory while answers are pending."""
     for client in clients:
         client.send_statement(statements)
     peak = router.rss_mb()
--- a/grebeproxy/lab/capacity/measure/end_to_end.py
+++ b/grebeproxy/lab/capacity/measure/end_to_end.py
@@ -1,4 +1,4 @@
-"""Complete statements through a real router process: its CPU per statement against engines and rates."""
+"""Complete statements through a real router process: CPU per statement by number of engines and by rate."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 from grebeproxy.lab.capacity.measure.workload import Statements
 from grebeproxy.lab.record import Point
 
-RATES = (100, 250, 500, 1000, 2083)
+RATES = (100, 250, 500, 1000, 2083)  # statements per second
 ENGINES = (80, 200, 400, 800, 1600, 3200)
-SLOW_RATE = 20  # statements a second, which a router can decide even where each decision takes long
-ROUTERS_PER_ENGINE = 0.75  # as at the target
-FEW_ENGINES = 16  # so few that a router uses all of them
-FEW_ROUTERS = 12  # as many for each engine as at the target
+SLOW_RATE = 20  # statements per second; low enough for a router whose decisions are slow
+ROUTERS_PER_ENGINE = 0.75  # the ratio at the target size, 2,400 routers to 3,200 engines
+FEW_ENGINES = 16  # few enough that a router uses all of them
+FEW_ROUTERS = 12  # has the ratio ``ROUTERS_PER_ENGINE`` to ``FEW_ENGINES``
 CONNECTIONS = 64
 WARM_UP = 1.5  # seconds before the measurement
 WINDOW = 4.0  # seconds of the measurement
-ENGINE_DELAY = 0.003  # seconds
-LAST_ANSWERS_SECONDS = 10 * ENGINE_DELAY  # after the last statement was sent
+ENGINE_DELAY = 0.003  # seconds until an engine answers
+LAST_ANSWERS_SECONDS = 10 * ENGINE_DELAY  # wait for answers after the last statement is sent
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A fleet of engines and routers, and the statements a second that one of the routers is sent."""
+    """Numbers of engines and routers of a fleet, and the statements per second sent to one router."""
 
     engines: int
     routers: int
@@ -44,12 +44,12 @@
 
 
 def against_rate(rates: Iterable[int] = RATES, seed: int = 1) -> list[Point]:
-    """Points at several rates with few engines: the cost of a statement where decisions are short."""
+    """Return one point for each rate, with few engines, so that decisions are short."""
     return [_point(Load(FEW_ENGINES, FEW_ROUTERS, rate), seed) for rate in rates]
 
 
 def against_engines(engines: Iterable[int] = ENGINES, seed: int = 1, rate: int = SLOW_RATE) -> list[Point]:
-    """Points at several numbers of engines, with as many routers for each engine as at the target."""
+    """Return one point for each number of engines, with the target's ratio of routers to engines."""
     return [_point(Load(count, round(count * ROUTERS_PER_ENGINE), rate), seed) for count in engines]
 
 
--- a/grebeproxy/lab/capacity/measure/engine_list.py
+++ b/grebeproxy/lab/capacity/measure/engine_list.py
@@ -1,4 +1,4 @@
-"""The engine list in a router: bytes, CPU and memory, of a full list and of changes."""
+"""Bytes, CPU and memory that a router spends on the engine list: on a full list and on changes."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 ENGINES = (80, 200, 400, 800, 1600, 3200)
 ROUTERS = 2400
 RUNS = 3
-CHANGES_PER_RUN = 20  # each of one engine; the mean is taken
+CHANGES_PER_RUN = 20  # each change is of one engine; the CPU of a change is their mean
 PORT = 9001
-STARTED_MS = 5_000_000
+STARTED_MS = 5_000_000  # start time of the first changed engine
 MAX_SOCKETS = 1024
 MEMORY_MB = 192.0
 START_TIME = 1.0  # seconds on the simulated clock
-LIST_TIME = 10.0
-CHANGES_TIME = 11.0  # of the first change; one follows each second
+LIST_TIME = 10.0  # when the router receives the full list
+CHANGES_TIME = 11.0  # when the first change arrives; one more follows each second
 
 
 def measure(engines: Iterable[int] = ENGINES, seed: int = 1) -> list[Point]:
-    """One point for each number of engines; CPU is the least of several runs."""
+    """Return one point for each number of engines; CPU is the minimum of several runs."""
     return [_point(count, seed) for count in engines]
 
 
@@ -43,7 +43,7 @@
 
 
 def _run(engines: int, seed: int) -> dict[str, float]:
-    """Bytes and milliseconds of one full list and of a change of one engine after it."""
+    """Measure bytes and CPU milliseconds of a full list and of later changes of one engine."""
     full = list_frame(range(engines), PORT, seq=1, kind=FULL)
     changes = [
         list_frame(range(engine, engine + 1), PORT, 2 + number, CHANGES, STARTED_MS + number)
@@ -71,12 +71,12 @@
 
 
 def _changed_engines(engines: int) -> list[int]:
-    """Engines spread over the list, one for each change."""
+    """Choose engines spread over the list, one for each change."""
     return [number * engines // CHANGES_PER_RUN for number in range(CHANGES_PER_RUN)]
 
 
 def _memory_bytes(engines: int, seed: int) -> float:
-    """What a router stores of a full list, as the allocator counts it."""
+    """Return the bytes that a router allocates for a full list, as ``tracemalloc`` counts them."""
     router = _router(seed)
     decoder = Decoder(settings(ROUTERS), _seconds)
     full = list_frame(range(engines), PORT, seq=1, kind=FULL)
@@ -91,7 +91,7 @@
 
 
 def _router(seed: int) -> Router:
-    """A router whose connection to the change log is open."""
+    """Create a router whose connection to the change log is open."""
     options = RouterOptions(
         settings(ROUTERS),
         wire_limits_from(profile(ROUTERS)),
@@ -106,7 +106,7 @@
 
 
 def _apply(router: Router, now: float, updates: list[ChangeLogUpdate]) -> None:
-    """Have the router process updates, all of which must be engine lists."""
+    """Pass updates to the router; their changes must all be engine lists."""
     router.step(now, [ChangeLogReceived(update) for update in updates])
     assert all(update.change is None or isinstance(update.change, api.EngineList) for update in updates)
 
--- a/grebeproxy/lab/capacity/measure/engines.py
+++ b/grebeproxy/lab/capacity/measure/engines.py
@@ -1,4 +1,4 @@
-"""The engines of a measured fleet: names, addresses and lists of them in each format a router reads."""
+"""The engines of a measured fleet: names, addresses, and engine lists in each format that a router reads."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 ZONES = tuple(f"room-{number}" for number in range(1, 7))
 CELLS = 16
 KINDS = ("typ-a", "typ-b")
-FIRST_HOST = 0x7F010001  # 127.1.0.1: each engine has a loopback address of its own
-FULL_WEIGHT = 1000  # thousandths, in a record of the change log
-LENGTH_BYTES = 4  # of a frame's length, which does not count itself
+FIRST_HOST = 0x7F010001  # 127.1.0.1, the first engine's address; each engine has its own
+FULL_WEIGHT = 1000  # in thousandths, as a record of the change log has it
+LENGTH_BYTES = 4  # size of a frame's length field, which does not count itself
 
 
 class KnownEngine(TypedDict):
@@ -51,17 +51,17 @@
 
 
 def engine_name(number: int) -> str:
-    """The name that the change log's codec gives an engine."""
+    """Return the name that the change log's codec gives an engine."""
     return f"s-{number:08x}"
 
 
 def engine_host(number: int) -> str:
-    """The loopback address of an engine."""
+    """Return the loopback address of an engine."""
     return ".".join(str(byte) for byte in struct.pack(">I", FIRST_HOST + number))
 
 
 def engine_entries(count: int) -> tuple[api.Engine, ...]:
-    """Warm engines over all zones and kinds, as the decision module receives them."""
+    """Return warm engines, spread over all zones and kinds, as the decision module receives them."""
     return tuple(
         api.Engine(
             engine_name(number), KINDS[number % len(KINDS)], ZONES[number % len(ZONES)], number % CELLS
@@ -71,7 +71,7 @@
 
 
 def known_engines(count: int, port: int) -> KnownEngines:
-    """A full list as the ``known`` field of a router's configuration."""
+    """Return a full list as the ``known`` field of a router's configuration."""
     endpoints: list[KnownEngine] = [
         {
             "name": engine_name(number),
@@ -89,7 +89,7 @@
 
 
 def list_frame(numbers: range, port: int, seq: int, kind: int = FULL, started_ms: int = 0) -> bytes:
-    """A frame of the change log with one record for each engine."""
+    """Encode a frame of the change log with one record for each engine."""
     records = b"".join(
         RECORD.pack(
             number,
--- a/grebeproxy/lab/capacity/measure/process.py
+++ b/grebeproxy/lab/capacity/measure/process.py
@@ -1,4 +1,4 @@
-"""A real router process, and what the kernel says of its CPU time and memory."""
+"""A real router process, with its CPU time and memory as the kernel reports them."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 from grebeproxy.lab.record import KIBIBYTE, MEBIBYTE
 
 HOST = "127.0.0.1"
-STOP_SECONDS = 10.0  # after SIGTERM, until the process is killed
-MAX_SOCKETS = 19_000  # of one router, under the machine's limit of 20,000 descriptors
-MEMORY_MB = 1024
-LOG_LINES = 5  # of the router's log, in an error
+STOP_SECONDS = 10.0  # wait after SIGTERM before the process is killed
+MAX_SOCKETS = 19_000  # limit of one router, below the machine's limit of 20,000 descriptors
+MEMORY_MB = 1024  # limit of one router
+LOG_LINES = 5  # last lines of the router's log that an error shows
 
 
 class RouterFailedError(GrebeproxyError):
-    """The router has ended, or does not serve; the text is the end of its log."""
+    """The router has ended, or does not serve; the message holds the end of its log."""
 
 
 class ProcessStatusError(GrebeproxyError):
-    """The kernel's status of a process lacks its resident memory."""
+    """The kernel's status file of a process has no line for resident memory."""
 
 
 class Ports(NamedTuple):
-    """Loopback ports of one measured router: for its clients, of the change log, and of all engines."""
+    """Ports that a measured router uses: its clients' port, the change log's, and that of all engines."""
 
     clients: int
     changelog: int
@@ -63,7 +63,7 @@
 
 
 def configuration(engines: int, routers: int, ports: Ports) -> RouterConfiguration:
-    """The configuration of one of several routers before some engines."""
+    """Return the configuration of one of ``routers`` routers that share ``engines`` engines."""
     return {
         "name": "measured",
         "listen": f"{HOST}:{ports.clients}",
@@ -76,7 +76,7 @@
 
 
 class RouterProcess:
-    """``python -m grebeproxy`` with a configuration; ended with SIGTERM on leaving the context."""
+    """A ``python -m grebeproxy`` process; leaving the context ends it with SIGTERM."""
 
     def __init__(self, configuration: RouterConfiguration) -> None:
         self._folder = TemporaryDirectory(prefix="grebeproxy-measure-")
@@ -91,13 +91,13 @@
             )
 
     def __enter__(self) -> RouterProcess:
-        """The process runs since the constructor."""
+        """Return the router, whose process the constructor has started."""
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """End the process, and wait for its end."""
+        """End the process and wait for its exit; kill it after ``STOP_SECONDS``."""
         self._process.send_signal(signal.SIGTERM)
         try:
             self._process.wait(STOP_SECONDS)
@@ -107,16 +107,16 @@
         self._folder.cleanup()
 
     def check(self) -> None:
-        """Raise ``RouterFailedError`` where the process has ended."""
+        """Raise ``RouterFailedError`` if the process has ended."""
         if self._process.poll() is not None:
             raise RouterFailedError(self.log())
 
     def log(self) -> str:
-        """The last lines of the router's log."""
+        """Return the last lines of the router's log."""
         return "\n".join(self._log.read_text().splitlines()[-LOG_LINES:])
 
     def cpu_seconds(self) -> float:
-        """CPU time of the process so far, in seconds."""
+        """Return the CPU time that the process has used so far, in seconds."""
         self.check()
         nanoseconds = sum(
             int(schedstat.read_text().split()[0])
@@ -125,10 +125,10 @@
         return nanoseconds / 1e9
 
     def rss_mb(self) -> float:
-        """Resident memory now, in mebibytes."""
+        """Return the current resident memory in mebibytes."""
         self.check()
         status = Path(f"/proc/{self._process.pid}/status").read_text()
         found = re.search(r"^VmRSS:\s+(\d+) kB", status, re.MULTILINE)
         if found is None:
-            raise ProcessStatusError(f"process {self._process.pid}: no VmRSS in its status")
+            raise ProcessStatusError(f"process {self._process.pid}: /proc status file has no VmRSS line")
         return int(found[1]) * KIBIBYTE / MEBIBYTE
--- a/grebeproxy/lab/capacity/measure/router_settings.py
+++ b/grebeproxy/lab/capacity/measure/router_settings.py
@@ -1,4 +1,4 @@
-"""One realistic set of router settings for all measurements."""
+"""Realistic router settings, which all measurements use."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def profile(routers: int, index: int = 0) -> Fields:
-    """The settings of one router as its deployment file has them: JSON fields, durations in milliseconds."""
+    """Return one router's settings as JSON fields, in a deployment file's form; durations in milliseconds."""
     return {
         "balancers": routers,
         "me": index,
@@ -78,5 +78,5 @@
 
 
 def settings(routers: int, index: int = 0) -> api.Settings:
-    """The same settings as the decision module receives them."""
+    """Return the settings of ``profile`` as the decision module receives them."""
     return settings_from(profile(routers, index))
--- a/grebeproxy/lab/capacity/measure/slow_start.py
+++ b/grebeproxy/lab/capacity/measure/slow_start.py
@@ -1,6 +1,6 @@
-"""What engines that are warming up get from all routers together, relative to their budget, by simulation.
+"""Work that all routers together send to engines in slow start, relative to the budget, by simulation.
 
-Each router is a decision module of its own; none knows what the others send. All flood the same engines.
+Each router has its own decision module and does not know what the others send. All overload the same engines.
 """
 
 from __future__ import annotations
@@ -24,49 +24,49 @@
 ENGINES_START = 100.0  # seconds on the simulated clock
 ROUTERS_START = ENGINES_START - 1.0
 LIST_TIME = ENGINES_START - 0.5  # when the routers receive the engine list
-SECONDS = 4.5  # one and a half windows of the rule
-RATE = 1200.0  # statements a second of all routers together, somewhat more than the rule allows
-WORK_FACTOR = 5.0  # times the work of the mix, so that fewer statements make a flood
-BUSY_FRACTION = 0.85  # the rule defines capacity as the rate at which this fraction of the cores is busy
-MEAN_WORK = WORK_FACTOR * sum(cls.fraction * cls.work for cls in MIX)
+SECONDS = 4.5  # simulated time: one and a half windows of the overload rule
+RATE = 1200.0  # statements per second of all routers together, slightly above what the overload rule allows
+WORK_FACTOR = 5.0  # multiplies the work of the mix, so that fewer statements overload the engines
+BUSY_FRACTION = 0.85  # capacity is the rate at which this fraction of the cores is busy
+MEAN_WORK = WORK_FACTOR * sum(cls.fraction * cls.work for cls in MIX)  # core seconds per statement
 CHANCE_DEVIATIONS = 2.0  # standard deviations that chance may add to the budget
 CHANCE_STATEMENTS = 2.0  # statements that chance may add to the budget
 
 
 class SentWork(NamedTuple):
-    """Work in core seconds that an engine was sent, and when."""
+    """Work in core seconds that was sent to an engine, and the time of sending."""
 
     time: float
     work: float
 
 
 class Send(NamedTuple):
-    """An engine that a router sent work to, in core seconds."""
+    """Work in core seconds that a router sends to an engine."""
 
     engine: str
     work: float
 
 
 def measure(routers: Iterable[int] = ROUTERS, seed: int = 1) -> list[Point]:
-    """One point for each number of routers."""
+    """Return one point for each number of routers."""
     return [_point(count, seed) for count in routers]
 
 
 def _point(routers: int, seed: int) -> Point:
-    sent_by_engine = _Flood(routers, seed).run()
+    sent_by_engine = _Overload(routers, seed).run()
     rules = settings(routers).rules
     requested = RATE * SECONDS * MEAN_WORK
     ratios = [ratio for sent in sent_by_engine.values() for ratio in _window_ratios(sent, rules)]
     values = {
         "most_over_bound": max(ratios, default=0.0),
-        "sent_share": sum(one.work for sent in sent_by_engine.values() for one in sent) / requested,
+        "sent_share": sum(item.work for sent in sent_by_engine.values() for item in sent) / requested,
         "engines_reached": float(len(sent_by_engine)),
     }
     return Point({"routers": routers, "engines": ENGINES}, values)
 
 
-class _Flood:
-    """All routers receive statements of the mix at a high rate; each statement ends at once."""
+class _Overload:
+    """A simulation in which routers get statements at a high rate and each attempt succeeds at once."""
 
     def __init__(self, routers: int, seed: int) -> None:
         self._random = Random(seed)
@@ -80,7 +80,7 @@
             self._choices.append(choice)
 
     def run(self) -> dict[str, list[SentWork]]:
-        """What each engine was sent, in order of time."""
+        """Return the work sent to each engine, in order of time."""
         sent: dict[str, list[SentWork]] = defaultdict(list)
         for time, query in self._statements.queries(ENGINES_START, RATE):
             if time >= ENGINES_START + SECONDS:
@@ -91,7 +91,7 @@
         return sent
 
     def _handle(self, choice: Choice, now: float, query: api.Query) -> Iterator[Send]:
-        """What a router sends because of one more query; all that is sent ends at once."""
+        """Pass a query to a router and yield what it sends; each attempt succeeds at once."""
         actions = choice.handle(now, [query])
         while sends := [action for action in actions if isinstance(action, api.Send)]:
             actions = []
@@ -103,7 +103,7 @@
 
 
 def _window_ratios(sent: list[SentWork], rules: api.Rules) -> Iterator[float]:
-    """For each window that ends with a statement: what an engine got in it, over what the rule allows."""
+    """Yield, for each window that ends with a statement, the work in it divided by the allowed work."""
     first = 0
     in_window = 0.0
     for time, work in sent:
@@ -115,7 +115,10 @@
 
 
 def _allowed(time: float, rules: api.Rules) -> float:
-    """Statements of mean work that an engine may get in the window that ends then, with what chance adds."""
+    """Return how many mean statements an engine may get in the window that ends at ``time``.
+
+    The number includes a margin for random variation.
+    """
     age = max(0.0, time - rules.overload_time / 2 - ENGINES_START)
     warmth = rules.slow_start_fraction + (1.0 - rules.slow_start_fraction) * age / rules.slow_start_time
     budget = rules.overload_factor * rules.overload_time * BUSY_FRACTION * CORES * warmth / MEAN_WORK
--- a/grebeproxy/lab/capacity/measure/start.py
+++ b/grebeproxy/lab/capacity/measure/start.py
@@ -18,7 +18,7 @@
 
 
 class Start(NamedTuple):
-    """One start: seconds until the router served, and its CPU seconds and resident mebibytes then."""
+    """One start: seconds until the router serves, with the CPU seconds and resident mebibytes by then."""
 
     serves_s: float
     cpu_s: float
@@ -26,7 +26,7 @@
 
 
 def measure(engines: Iterable[int] = ENGINES, seed: int = 1) -> list[Point]:
-    """One point for each number of engines: the least of several starts."""
+    """Return one point for each number of engines; each value is the minimum of several starts."""
     return [_point(count) for count in engines]
 
 
--- a/grebeproxy/lab/capacity/measure/statement.py
+++ b/grebeproxy/lab/capacity/measure/statement.py
@@ -26,18 +26,18 @@
 
 ROUTERS = (200, 2400)
 ENGINES = (80, 200, 400, 800, 1600, 3200)
-ONE_LIST = 400  # engines of the list that is measured against routers
+ONE_LIST = 400  # number of engines where the number of routers varies
 ROUTERS_OF_ONE_LIST = (24, 200, 600, 1200, 2400)
 RUNS = 3
 CODEC_STATEMENTS = 1000
-REMAINING_SECONDS = 1.9  # until the deadline of a statement that is sent to an engine
-DECISION_SECONDS = 1.0  # of CPU in one run of decisions, about
+REMAINING_SECONDS = 1.9  # time left until the deadline when a statement is sent to an engine
+DECISION_SECONDS = 1.0  # approximate CPU time of one run of decisions
 MIN_DECISIONS = 60
 MAX_DECISIONS = 2000
 LIST_TIME = 1.0  # seconds on the simulated clock
-FIRST_QUERY_TIME = 60.0  # long after the start, since a usual decision meets no engine in slow start
+FIRST_QUERY_TIME = 60.0  # late enough that no engine is in slow start, as in a typical decision
 MICROSECONDS = 1e6
-SHORTEST_SECONDS = 1e-9  # stands for no time at all in a division
+SHORTEST_SECONDS = 1e-9  # replaces a measured time of zero in a division
 
 
 class DueEvent(NamedTuple):
@@ -49,7 +49,7 @@
 
 
 def measure(engines: Iterable[int] = ENGINES, routers: Iterable[int] = ROUTERS, seed: int = 1) -> list[Point]:
-    """One point for each number of engines and of routers; each value is the least of several runs."""
+    """Return one point for each pair of engine and router counts; values are minima of several runs."""
     engines = tuple(engines)
     points: list[Point] = []
     for router_count in routers:
@@ -62,7 +62,7 @@
 
 
 def against_routers(routers: Iterable[int] = ROUTERS_OF_ONE_LIST, seed: int = 1) -> list[Point]:
-    """One point for each number of routers, before one list of engines."""
+    """Return one point for each number of routers, all with ``ONE_LIST`` engines."""
     return [
         Point({"routers": count, "engines": ONE_LIST}, {"decide_us": decide_us(ONE_LIST, count, seed)})
         for count in routers
@@ -70,7 +70,7 @@
 
 
 def codec_parts(seed: int) -> dict[str, float]:
-    """Microseconds of CPU of each codec for one statement."""
+    """Return the CPU microseconds that each codec takes for one statement."""
     statements = Statements(seed)
     requests = [statements.request(number) for number in range(CODEC_STATEMENTS)]
     decoder = msgpack_rpc.Decoder(settings(1))
@@ -87,7 +87,7 @@
         "decode_us": _min_cpu_us(lambda: [list(decoder.feed(request)) for request in requests]),
         "send_us": _min_cpu_us(lambda: [resp.encode(run) for run in runs]),
         "read_us": _min_cpu_us(lambda: [list(engine_decoder.feed(answer)) for answer in answers]),
-        "answer_us": _min_cpu_us(lambda: [msgpack_rpc.encode(one) for one in served]),
+        "answer_us": _min_cpu_us(lambda: [msgpack_rpc.encode(answer) for answer in served]),
     }
 
 
@@ -96,7 +96,7 @@
 
 
 def _min_cpu_us(work: Callable[[], object]) -> float:
-    """The least CPU of several runs over all statements, for one statement."""
+    """Return the CPU per statement: the minimum of several runs, each over all statements."""
     return min(_cpu_seconds(work) for _ in range(RUNS)) / CODEC_STATEMENTS * MICROSECONDS
 
 
@@ -107,27 +107,27 @@
 
 
 def decide_us(engines: int, routers: int, seed: int) -> float:
-    """Microseconds of CPU that the decision module takes for one query, from its arrival to its end."""
+    """Return the CPU microseconds that the decision module takes for a query, from arrival to end."""
     decisions = _Decisions(engines, routers, seed)
-    first_seconds = decisions.cpu_of(MIN_DECISIONS)  # also a warm-up
+    first_seconds = decisions.cpu_seconds(MIN_DECISIONS)  # this run is also the warm-up
     affordable = int(DECISION_SECONDS * MIN_DECISIONS / max(first_seconds, SHORTEST_SECONDS))
     number = max(MIN_DECISIONS, min(MAX_DECISIONS, affordable))
-    return min(decisions.cpu_of(number) / number for _ in range(RUNS)) * MICROSECONDS
+    return min(decisions.cpu_seconds(number) / number for _ in range(RUNS)) * MICROSECONDS
 
 
 class _Decisions:
-    """A decision module and a simulation of engines that serve each query in just its work."""
+    """A decision module with simulated engines, which serve each query in exactly its work time."""
 
     def __init__(self, engines: int, routers: int, seed: int) -> None:
         self._choice = Choice(settings(routers), 0.0, seed)
         self._choice.handle(LIST_TIME, [api.EngineList(api.ListKind.FULL, engine_entries(engines))])
         self._queries = Statements(seed).queries(FIRST_QUERY_TIME, rate_of(engines, routers))
         self._due: list[DueEvent] = []
-        self._numbers = count()
+        self._event_numbers = count()
         self._attempts: dict[str, int] = {}
 
-    def cpu_of(self, queries: int) -> float:
-        """Seconds of CPU inside the module while ``queries`` arrive and earlier ones end."""
+    def cpu_seconds(self, queries: int) -> float:
+        """Return the CPU seconds in the decision module while ``queries`` arrive and earlier ones end."""
         spent = 0.0
         for arrival, query in islice(self._queries, queries):
             while self._due and self._due[0].time <= arrival:
@@ -155,4 +155,4 @@
             self._schedule(now + work, ended)
 
     def _schedule(self, time: float, event: api.Event) -> None:
-        heappush(self._due, DueEvent(time, next(self._numbers), event))
+        heappush(self._due, DueEvent(time, next(self._event_numbers), event))
--- a/grebeproxy/lab/capacity/measure/stub_servers.py
+++ b/grebeproxy/lab/capacity/measure/stub_servers.py
@@ -16,22 +16,22 @@
 from grebeproxy.lab.capacity.measure.workload import LOAD_REPORT, RESULT_PAGE, pack_words
 
 BACKLOG = 1024
-HEARTBEAT_SECONDS = 1.0  # between frames of the change log
-HEARTBEAT_HEAD = struct.Struct(">I")
-HEARTBEAT_LENGTH = 9  # of a sequence number and an event kind
+HEARTBEAT_SECONDS = 1.0  # between two heartbeats of the change log
+HEARTBEAT_HEAD = struct.Struct(">I")  # length of the rest of the frame
+HEARTBEAT_LENGTH = 9  # bytes of a sequence number and an event kind
 SEQUENCE_BYTES = 8
-NO_EVENTS = b"\0"
+NO_EVENTS = b"\0"  # event kind of a heartbeat
 
 
 def free_ports() -> Ports:
-    """Ports of the loopback address that are free now."""
+    """Return currently free ports of the loopback address."""
     with ExitStack() as sockets:
         bound = [sockets.enter_context(socket.create_server((HOST, 0))) for _ in Ports._fields]
-        return Ports(*(int(one.getsockname()[1]) for one in bound))
+        return Ports(*(int(listener.getsockname()[1]) for listener in bound))
 
 
 class EngineStub(asyncio.Protocol):
-    """A router's connection to an engine that answers each request after ``delay`` seconds."""
+    """A router's connection to an engine, which answers each request after ``delay()`` seconds."""
 
     def __init__(self, delay: Callable[[], float]) -> None:
         self._delay = delay
@@ -45,7 +45,7 @@
         """Answer the handshake at once, and each request after the delay."""
         self._reader.feed(data)
         while (words := self._reader.gets()) is not False:
-            assert isinstance(words, list)  # routers send arrays of strings only
+            assert isinstance(words, list)  # Routers send only arrays of strings.
             if words[0] == b"REQ":
                 loop = asyncio.get_running_loop()
                 loop.call_later(self._delay(), self._answer, words[1], "ok", LOAD_REPORT, RESULT_PAGE)
@@ -58,14 +58,14 @@
 
 
 class ChangeLogStub(asyncio.Protocol):
-    """A router's connection to a change log without new events: it sends heartbeats only."""
+    """A router's connection to a change log that has no new events and sends only heartbeats."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Read the sequence number of the last event that the router has, and repeat it in heartbeats."""
+        """Read the sequence number of the router's last event, and repeat that number in heartbeats."""
         self._send_heartbeat(data[:SEQUENCE_BYTES])
 
     def _send_heartbeat(self, sequence: bytes) -> None:
@@ -75,7 +75,7 @@
 
 
 class StubServers:
-    """Listening stubs: the change log, and engines with a loopback address each."""
+    """Listening stubs: one change log, and engines that each have their own loopback address."""
 
     def __init__(self, engines: int, delay: Callable[[], float]) -> None:
         self._engines = engines
@@ -84,7 +84,7 @@
         self.ports = free_ports()
 
     async def __aenter__(self) -> StubServers:
-        """Listen."""
+        """Start listening as the change log and as each engine."""
         loop = asyncio.get_running_loop()
         self._servers.append(await loop.create_server(ChangeLogStub, HOST, self.ports.changelog))
         for number in range(self._engines):
@@ -95,6 +95,6 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Stop listening."""
+        """Close all listening sockets."""
         for server in self._servers:
             server.close()
--- a/grebeproxy/lab/capacity/measure/workload.py
+++ b/grebeproxy/lab/capacity/measure/workload.py
@@ -13,19 +13,19 @@
 from grebeproxy.policy import interface as api
 
 DATA_SETS = 200
-KEYS = 10_000  # that loads write
+KEYS = 10_000  # number of order keys of loads
 TENANTS = ("city", "county")
-MEMORY_MB = 64
+MEMORY_MB = 64  # of each statement
 TARGET_ENGINES = 3200
 TARGET_ROUTERS = 2400
-TARGET_RATE = 2083.0  # statements a second of one router at the target
+TARGET_RATE = 2083.0  # statements per second of one router at the target size
 RESULT_PAGE = b"1\trow 1\tmade up\n2\trow 2\tmade up\n3\trow 3\tmade up\n" * 8
-LOAD_REPORT = "count=1,gauges=cpu_share:0.1;pending:0;x0:0.05"  # an engine's, piggybacked on its answer
+LOAD_REPORT = "count=1,gauges=cpu_share:0.1;pending:0;x0:0.05"  # gauges that an engine adds to its answer
 
 
 @dataclass(frozen=True, slots=True)
 class StatementClass:
-    """One class of the mix: its fraction of the statements; engine time and deadline in seconds."""
+    """One query class of the mix: its fraction of the statements, with work and deadline in seconds."""
 
     name: str
     fraction: float
@@ -33,7 +33,8 @@
     deadline: float
 
 
-# Together 3.6 ms of an engine's core, two thirds of what 2,083 statements a second leave at the target.
+# A statement takes 3.6 ms of an engine's core on average. That is two thirds of the core time available per
+# statement at the target size, with 2,083 statements per second at each router.
 MIX = (
     StatementClass("lookup", 0.80, 0.0015, 2.5),
     StatementClass("report", 0.15, 0.012, 20.0),
@@ -49,30 +50,33 @@
 
 
 def pack_words(*words: str | bytes) -> bytes:
-    """An answer of an engine in RESP."""
-    # The stubs of hiredis allow tuples of one word only.
+    """Encode an engine's answer in RESP."""
+    # The type stubs of hiredis allow only tuples of one word.
     packed: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]
     return packed
 
 
 def rate_of(engines: int, routers: int) -> float:
-    """Statements a second of one router at which the engines are loaded as at the target."""
+    """Return the statements per second of one router that load the engines as at the target size.
+
+    The rate is at most ``TARGET_RATE``.
+    """
     return TARGET_RATE * min(1.0, engines * TARGET_ROUTERS / (routers * TARGET_ENGINES))
 
 
 class Statements:
-    """Requests of the mix, as clients send them and as the decision module receives them."""
+    """Random statements of the mix, as clients send them and as the decision module receives them."""
 
     def __init__(self, seed: int) -> None:
         self._random = Random(seed)
         self._count = 0
 
     def next_class(self) -> StatementClass:
-        """One draw from the mix."""
+        """Choose a class at random, by the fractions of the mix."""
         return self._random.choices(MIX, [cls.fraction for cls in MIX])[0]
 
     def request(self, message_id: int) -> bytes:
-        """A client's request in MessagePack-RPC."""
+        """Encode a client's request in MessagePack-RPC."""
         cls = self.next_class()
         self._count += 1
         fields = {
@@ -89,7 +93,7 @@
         return packed
 
     def queries(self, start: float, rate: float) -> Iterator[Arrival]:
-        """Arrival times and queries, evenly spaced."""
+        """Yield queries without end, with evenly spaced arrival times."""
         while True:
             self._count += 1
             time = start + self._count / rate
--- a/tests/test_capacity_measure.py
+++ b/tests/test_capacity_measure.py
@@ -1,4 +1,4 @@
-"""The measurements behind the capacity page, at sizes that take seconds."""
+"""Tests of the capacity measurements, at small sizes so that each takes seconds."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 @pytest.fixture(autouse=True)
-def short(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_measurements(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(end_to_end, "WARM_UP", 0.2)
     monkeypatch.setattr(end_to_end, "WINDOW", 0.6)
     monkeypatch.setattr(connections, "IDLE_WINDOW", 0.2)
@@ -35,21 +35,21 @@
 
 @pytest.fixture
 def processes(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[int]]:
-    """Ids of the router processes that a test starts; all have ended by its end."""
+    """Ids of the router processes that a test starts; checks at its end that all have exited."""
     started: list[int] = []
-    begin: Callable[..., None] = RouterProcess.__init__
+    original_init: Callable[..., None] = RouterProcess.__init__
 
-    def recording(self: RouterProcess, *arguments: object) -> None:
-        begin(self, *arguments)
+    def record_start(self: RouterProcess, *arguments: object) -> None:
+        original_init(self, *arguments)
         started.append(self._process.pid)
 
-    monkeypatch.setattr(RouterProcess, "__init__", recording)
+    monkeypatch.setattr(RouterProcess, "__init__", record_start)
     yield started
     assert started
     assert not [pid for pid in started if Path(f"/proc/{pid}").exists()]
 
 
-def test_requests_of_the_mix_are_usable_and_of_all_classes() -> None:
+def test_requests_of_the_mix_decode_and_cover_all_classes() -> None:
     statements, decoder = Statements(1), msgpack_rpc.Decoder(settings(12))
     calls = [call for number in range(200) for call in decoder.feed(statements.request(number))]
     assert all(isinstance(call, Call) for call in calls) and len(calls) == 200
@@ -62,8 +62,8 @@
     assert {zones.count(zone) for zone in zones} == {10}
 
 
-class Slow(Choice):
-    """Takes two milliseconds of CPU more for each call."""
+class SlowChoice(Choice):
+    """A decision module whose calls take two more milliseconds of CPU each."""
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
         until = time.process_time() + 0.002
@@ -72,13 +72,13 @@
         return super().handle(now, events)
 
 
-def test_what_the_module_takes_is_counted_for_a_query_and_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_decision_time_counts_the_calls_for_arrival_and_end(monkeypatch: pytest.MonkeyPatch) -> None:
     usual = statement.decide_us(8, 12, seed=1)
-    monkeypatch.setattr(statement, "Choice", Slow)
+    monkeypatch.setattr(statement, "Choice", SlowChoice)
     assert 0 < usual < 4000 < statement.decide_us(8, 12, seed=1)
 
 
-def test_a_statement_is_the_sum_of_its_parts() -> None:
+def test_the_cpu_of_a_statement_is_the_sum_of_its_parts() -> None:
     (point,) = statement.measure(engines=(8,), routers=(12,))
     parts = ("decode_us", "send_us", "read_us", "answer_us", "decide_us")
     assert point.values["sum_us"] == pytest.approx(sum(point.values[part] for part in parts))
@@ -123,13 +123,13 @@
 
 
 @pytest.mark.parametrize("sizes", ["x", "", "3,,4", "-1"])
-def test_sizes_that_cannot_be_read(sizes: str) -> None:
+def test_invalid_sizes_are_rejected(sizes: str) -> None:
     result = CliRunner().invoke(main, ["measure", "enginelist", "--sizes", sizes])
     assert result.exit_code == 2
     assert "Error" in result.output
 
 
-def test_warming_engines_get_something_and_no_more_than_their_budget() -> None:
+def test_warming_engines_get_some_work_but_no_more_than_their_budget() -> None:
     (point,) = slow_start.measure((12,))
     assert 0 < point.values["most_over_bound"] <= 1
     assert 0 < point.values["sent_share"] < 1
