--- a/benchmarks/decide.py
+++ b/benchmarks/decide.py
@@ -1,9 +1,9 @@
-"""CPU time to decide one query with 8, 80 and 400 engines and two routers, as ratios to the first.
+"""Prints the CPU time to decide one query for two routers and 8, 80 and 400 engines, and ratios to the first.
 
     python benchmarks/decide.py
 
-The lab's measurement of the decision module (`python -m grebeproxy.lab measure statement`) at small sizes:
-the least of several runs of a mix of lookups, reports and loads.
+This is the lab's measurement of the decision module (`python -m grebeproxy.lab measure statement`) at small
+sizes. Each time is the least of several runs of a mix of lookups, reports and loads.
 """
 
 from __future__ import annotations
@@ -19,10 +19,12 @@
 
 
 def main() -> None:
-    """Print the three figures."""
-    costs = [decide_us(engines, ROUTERS, SEED) for engines in ENGINES]
-    for engines, took in zip(ENGINES, costs, strict=True):
-        print(f"{engines:4} engines: {took:6.0f} us, {took / costs[0]:5.2f} times that of {ENGINES[0]}")
+    """Print the time and the ratio for each number of engines."""
+    costs_us = [decide_us(engines, ROUTERS, SEED) for engines in ENGINES]
+    for engines, cost_us in zip(ENGINES, costs_us, strict=True):
+        print(
+            f"{engines:4} engines: {cost_us:6.0f} us, {cost_us / costs_us[0]:5.2f} times that of {ENGINES[0]}"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,8 +1,8 @@
-"""What membership costs and how soon it detects a failure, with many routers on one simulated clock.
+"""Measures the cost of membership and the time to detect a failure, with many routers on one simulated clock.
 
     python benchmarks/members.py [MEMBERS ...]
 
-Times are simulated seconds with the default period of 0.5 s; bytes are those of sealed packets without UDP's
+Times are simulated seconds with the default period of 0.5 s. Bytes are those of sealed packets, without UDP
 headers.
 """
 
@@ -24,38 +24,38 @@
 DEFAULT_SIZES = [3, 50, 200]
 QUIET_SECONDS = 20.0
 FALSE_ALARM_SECONDS = 60.0
-MOST_SECONDS = 120.0  # until all agree
-FAILURE_RUNS = ((9, 20), (50, 3))  # members, and seeds to run
+MAX_SECONDS = 120.0  # limit for all members to agree
+FAILURE_RUNS = ((9, 20), (50, 3))  # pairs of a number of members and a number of seeds to run
 
 
-class WeighedNetwork(SimulatedNetwork):
-    """Counts the bytes of what is sent."""
+class ByteCountingNetwork(SimulatedNetwork):
+    """A simulated network that counts the bytes that members send."""
 
     sent_bytes = 0
 
     def carry_out(self, slot: int, membership: Membership, effects: Iterable[Effect]) -> None:
-        """Seal each packet as well, to count its bytes."""
+        """Carry out the effects, and seal each packet to count its bytes."""
         effects = list(effects)
-        sealed = PacketCodec(b"k" * 16, membership.me.instance, 1)
+        codec = PacketCodec(b"k" * 16, membership.me.instance, 1)
         for effect in effects:
             if isinstance(effect, Send):
-                self.sent_bytes += len(sealed.seal([1, pack_message(effect.message)]))
+                self.sent_bytes += len(codec.seal([1, pack_message(effect.message)]))
         super().carry_out(slot, membership, effects)
 
 
-def joined(members: int, seed: int, loss: float) -> WeighedNetwork:
-    """A network in which all members know each other and nothing is gossiped any more."""
-    network = WeighedNetwork(seed, members)
+def converged_network(members: int, seed: int, loss: float) -> ByteCountingNetwork:
+    """Return a network in which all members know each other and gossip has ended."""
+    network = ByteCountingNetwork(seed, members)
     network.start(*range(members))
-    network.run_until(lambda: network.agree(range(members)), MOST_SECONDS)
+    network.run_until(lambda: network.agree(range(members)), MAX_SECONDS)
     network.loss = loss
     network.run(QUIET_SECONDS)
     return network
 
 
 def quiet_cost(members: int) -> str:
-    """What each member sends a second while nothing changes."""
-    network = joined(members, 1, 0.0)
+    """Describe what each member sends per second while nothing changes."""
+    network = converged_network(members, 1, 0.0)
     sent_before = network.sent_count
     bytes_before = network.sent_bytes
     network.run(QUIET_SECONDS)
@@ -65,40 +65,40 @@
 
 
 def failure_detection(members: int, loss: float, runs: int) -> str:
-    """How soon a killed member has failed for the first and for all others, and who failed wrongly."""
-    first = []
-    last = []
+    """Describe how soon the first and the last member declare a killed one failed, and count false alarms."""
+    first_detections = []
+    last_detections = []
     false_alarms = 0
     for seed in range(runs):
-        network = joined(members, seed, loss)
+        network = converged_network(members, seed, loss)
         network.notices.clear()
         network.run(FALSE_ALARM_SECONDS)
         false_alarms += len({notice.name for notice in network.failures()})
         network.notices.clear()
         killed = f"n{members // 2}"
         network.kill(members // 2)
-        began = network.now
+        killed_at = network.now
         network.run_until(
             lambda network=network, killed=killed: all(  # type: ignore[misc]
                 killed not in membership.view.members for membership in network.memberships.values()
             ),
-            MOST_SECONDS,
+            MAX_SECONDS,
         )
         failures = network.failures()
-        times = [notice.time - began for notice in failures if notice.name == killed]
-        first.append(min(times))
-        last.append(max(times))
+        times = [notice.time - killed_at for notice in failures if notice.name == killed]
+        first_detections.append(min(times))
+        last_detections.append(max(times))
         false_alarms += len({notice.name for notice in failures if notice.name != killed})
     return (
         f"{members:5} members, {loss:3.0%} loss: "
-        f"failed for the first after {statistics.median(first):4.1f} s, "
-        f"for all after {statistics.median(last):4.1f} s (most {max(last):4.1f}); "
+        f"failed for the first after {statistics.median(first_detections):4.1f} s, "
+        f"for all after {statistics.median(last_detections):4.1f} s (most {max(last_detections):4.1f}); "
         f"{false_alarms} false alarms in {runs} runs of a minute"
     )
 
 
 def main() -> None:
-    """Print all figures."""
+    """Print the costs of quiet networks and the times to detect failures."""
     sizes = [int(argument) for argument in sys.argv[1:]] or DEFAULT_SIZES
     for members in sizes:
         print(quiet_cost(members), flush=True)
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -14,11 +14,11 @@
 import orjson
 
 CONNECT_TIMEOUT = 10.0  # seconds
-REQUEST, FIRST_MESSAGE = 0, 1  # MessagePack-RPC: the type of a request, and its id
+REQUEST, MESSAGE_ID = 0, 1  # MessagePack-RPC: the message type of a request, and the id of the only one
 
 
-def main(path: str, cls: str, statement: str) -> None:
-    """Send it over one connection, as the first tenant of the configuration."""
+def main(path: str, query_class: str, statement: str) -> None:
+    """Send one statement as the first tenant of the configuration, and print its answer."""
     configuration = orjson.loads(Path(path).read_bytes())
     host, port = configuration["listen"].split(":")
     fields = {
@@ -28,10 +28,10 @@
         "cpu": "80.0",
         "mb": "64",
     }
-    if cls == "load":
+    if query_class == "load":
         fields |= {"unique": secrets.token_hex(16), "item": secrets.token_hex(8)}
     with socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT) as connection:
-        connection.sendall(msgpack.packb([REQUEST, FIRST_MESSAGE, cls, [fields, statement.encode()]]))
+        connection.sendall(msgpack.packb([REQUEST, MESSAGE_ID, query_class, [fields, statement.encode()]]))
         unpacker = msgpack.Unpacker()
         while data := connection.recv(65536):
             unpacker.feed(data)
--- a/grebeproxy/lab/control/__init__.py
+++ b/grebeproxy/lab/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control part of many routers on one simulated clock: messages, bytes, processor time and memory."""
+"""Measures the control code of many routers on one simulated clock: packets, bytes, CPU time and memory."""
--- a/grebeproxy/lab/control/command.py
+++ b/grebeproxy/lab/control/command.py
@@ -16,15 +16,15 @@
 from grebeproxy.lab.control.errors import FleetError
 from grebeproxy.lab.record import Point, record_now
 
-MIN_SIZE = 24  # at this size a rack is one router
-MAX_SIZE = 2400
+MIN_SIZE = 24  # routers; at this size a rack is one router
+MAX_SIZE = 2400  # routers; the largest fleet that the measurements are meant for
 
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """One measurement of the control code, with the fleet sizes it runs at by default.
+    """One measurement of the control code, with its default fleet sizes.
 
-    ``measure`` is called with a fleet size and a seed.
+    ``measure`` takes a fleet size and a seed. ``note`` is added to the record.
     """
 
     name: str
@@ -46,10 +46,10 @@
 BY_NAME = {measurement.name: measurement for measurement in MEASUREMENTS}
 
 
-def _bounded(
+def _check_sizes(
     ctx: click.Context, param: click.Parameter, sizes: tuple[int, ...] | None
 ) -> tuple[int, ...] | None:
-    """Reject sizes that are too small for a rack, or above the target."""
+    """Reject a fleet size that is too small to have a rack, or that is above ``MAX_SIZE``."""
     if sizes is not None and not all(MIN_SIZE <= size <= MAX_SIZE for size in sizes):
         raise click.BadParameter(f"sizes are {MIN_SIZE} to {MAX_SIZE} routers", ctx, param)
     return sizes
@@ -58,7 +58,10 @@
 @click.command(cls=OneLineErrorCommand)
 @click.argument("name", type=click.Choice(sorted(BY_NAME)))
 @click.option(
-    "--sizes", type=SizeList(0), callback=_bounded, help="Routers of each fleet, with commas between them."
+    "--sizes",
+    type=SizeList(0),
+    callback=_check_sizes,
+    help="Routers of each fleet, with commas between them.",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--json", "path", type=click.Path(dir_okay=False, path_type=Path), help="Write the record.")
@@ -70,7 +73,7 @@
     for size in chosen:
         points += _run(measurement, size, seed)
     for point in points:
-        click.echo(_text(point))
+        click.echo(_format_point(point))
     if path is not None:
         note = "; ".join(filter(None, (CLOCK_NOTE, measurement.note)))
         record_now(f"control-{name}", invocation(), seed, tuple(points), note).save(path)
@@ -90,7 +93,10 @@
 
 @contextmanager
 def _no_garbage_collection() -> Iterator[None]:
-    """Disable garbage collection: a pass over the whole fleet would count as one router's CPU time."""
+    """Disable garbage collection.
+
+    A collection traverses the objects of the whole fleet, and its time would count as one router's CPU time.
+    """
     enabled = gc.isenabled()
     gc.disable()
     try:
@@ -100,6 +106,6 @@
             gc.enable()
 
 
-def _text(point: Point) -> str:
+def _format_point(point: Point) -> str:
     sizes = " ".join(f"{name}={value:g}" for name, value in point.sizes.items())
     return "\n".join(f"{sizes} {name}={value:.6g}" for name, value in point.values.items())
--- a/grebeproxy/lab/control/errors.py
+++ b/grebeproxy/lab/control/errors.py
@@ -6,11 +6,11 @@
 
 
 class FleetError(GrebeproxyError):
-    """A measurement of a simulated fleet cannot go on."""
+    """A measurement of a simulated fleet cannot continue."""
 
 
 class NotReachedError(FleetError):
-    """A condition did not hold within the simulated time that was allowed for it."""
+    """A condition did not become true within its limit of simulated time."""
 
 
 class NoLeaseHolderError(FleetError):
--- a/grebeproxy/lab/control/handover.py
+++ b/grebeproxy/lab/control/handover.py
@@ -1,8 +1,9 @@
-"""A lease that passes from one router to another: time to detect, time to decide, and promises afterwards.
+"""Measures the handover of a lease: time to detect, time to decide, and promises to the new holder.
 
-Detection ends when a majority of the routers is free to vote for another candidate, decision when another
-router holds the lease. Nothing announces the lease holder: a router only remembers to whom it has promised
-its vote, so what is counted is how many routers have promised it to the new holder.
+Detection ends when a majority of the routers is free to vote for another candidate. Decision ends when
+another router holds the lease. No message announces the lease holder: a router only remembers to whom it has
+promised its vote. The measurement therefore counts the routers that have promised their vote to the
+new holder.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 SIZES = (60, 120, 180, 240)
 REPETITIONS = 2
 MAJORITY = 0.5  # a quorum is more than this fraction of the routers
-PROMISES_SECONDS = 1.0  # after which the promises to the new holder are counted
+PROMISES_SECONDS = 1.0  # from the decision to the count of promises to the new holder
 REJOIN_SECONDS = 1.2 * LEASE_SECONDS  # for the former holder to start and join before the next handover
-MAX_SECONDS = 60.0
-POLL_SECONDS = 0.01
+MAX_SECONDS = 60.0  # limit for detection, and again for decision
+POLL_SECONDS = 0.01  # between two checks of whether a condition holds
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +37,7 @@
 
 
 def measure(size: int, seed: int) -> list[Point]:
-    """A lease holder that crashes, and one that shuts down gracefully."""
+    """Measure handovers from a lease holder that crashes and from one that shuts down gracefully."""
     fleet = fleet_with_holder(size, seed)
     values: dict[str, float] = {}
     for cause, end in (("failed", fleet.kill), ("stopped", fleet.stop)):
@@ -63,7 +64,7 @@
 
 
 def _free_to_vote(fleet: Fleet, former_holder: int) -> float:
-    """The fraction of all configured routers that run and are bound by no promise to the former holder."""
+    """Return the fraction of all routers that run and are bound by no promise to the former holder."""
     free = sum(
         promise is None or promise.holder != name(former_holder) or fleet.now >= promise.until
         for promise in _promises(fleet)
@@ -72,7 +73,7 @@
 
 
 def _promised(fleet: Fleet, holder: int | None) -> float:
-    """The fraction of running routers that have promised their vote to this holder; 0 without a holder."""
+    """Return the fraction of running routers that have promised a holder their vote; 0 if there is none."""
     if holder is None:
         return 0.0
     promises = _promises(fleet)
--- a/grebeproxy/lab/control/lease.py
+++ b/grebeproxy/lab/control/lease.py
@@ -1,4 +1,4 @@
-"""A lease that all routers request: its renewal, and the time until another router holds it."""
+"""Measures a lease that all routers request: its renewal, and the time until another router holds it."""
 
 from __future__ import annotations
 
@@ -10,20 +10,22 @@
 from grebeproxy.membership.lease import RENEW_FRACTION
 
 SIZES = (60, 120, 240, 600)
-MAX_TAKEOVER_SIZE = 240  # above it only renewals are measured: contention costs the square of the size
+# Largest fleet in which takeovers are measured. In larger ones only renewals are measured, because the cost
+# of contention grows with the square of the size.
+MAX_TAKEOVER_SIZE = 240
 RENEWALS = 10
 TAKEOVERS = 3
 MAX_SECONDS = 60.0
 STARTING_SECONDS = 0.5  # before the first router requests the lease
-SETTLING_SECONDS = 2 * LEASE_SECONDS  # after all others have begun to request it
+SETTLING_SECONDS = 2 * LEASE_SECONDS  # after all other routers have started to request the lease
 REJOIN_SECONDS = 1.5 * LEASE_SECONDS  # for a restarted router to join before the next takeover
 CONTENTION_SECONDS = 2 * LEASE_SECONDS
-CONTENDING_ROUNDS = 2  # a router that sent this many packets to each other one still contends
-KINDS = (Traffic.LEASE,)
+CONTENDING_ROUNDS = 2  # a router that sent this many packets to each other router counts as contending
+TRAFFIC_KINDS = (Traffic.LEASE,)
 
 
 def measure(size: int, seed: int) -> list[Point]:
-    """All points of one size."""
+    """Measure renewals, takeovers and contention in a fleet of one size."""
     fleet = fleet_with_holder(size, seed)
     values = _renewal_values(fleet)
     if size <= MAX_TAKEOVER_SIZE:
@@ -33,7 +35,7 @@
 
 
 def fleet_with_holder(size: int, seed: int) -> Fleet:
-    """A fleet in which router 0 holds the lease, and all others request it."""
+    """Return a fleet in which router 0 holds the lease and all other routers request it."""
     fleet = Fleet(size, seed, duties=(DUTY,))
     fleet.start_converged()
     fleet.run(STARTING_SECONDS)
@@ -47,12 +49,12 @@
 def _renewal_values(fleet: Fleet) -> dict[str, float]:
     holder = fleet.current_lease_holder()
     others = [router for router in range(fleet.size) if router != holder]
-    before = fleet.usage([holder], KINDS)
-    before_others = fleet.usage(others, KINDS)
+    before = fleet.usage([holder], TRAFFIC_KINDS)
+    before_others = fleet.usage(others, TRAFFIC_KINDS)
     seconds = RENEWALS * RENEW_FRACTION * LEASE_SECONDS
     fleet.run(seconds)
-    used = fleet.usage([holder], KINDS) - before
-    used_others = fleet.usage(others, KINDS) - before_others
+    used = fleet.usage([holder], TRAFFIC_KINDS) - before
+    used_others = fleet.usage(others, TRAFFIC_KINDS) - before_others
     return {
         "renewal_packets_sent": used.packets_sent / RENEWALS,
         "renewal_bytes_sent": used.bytes_sent / RENEWALS,
@@ -62,7 +64,7 @@
 
 
 def _takeover_values(fleet: Fleet) -> dict[str, float]:
-    """Crash one lease holder after another; each restarts once there is a new holder."""
+    """Crash one lease holder after another. Each restarts once there is a new holder."""
     times: list[float] = []
     packets: list[int] = []
     candidates: list[int] = []
@@ -70,9 +72,9 @@
         failed = fleet.current_lease_holder()
         others = [router for router in range(fleet.size) if router != failed]
         fleet.kill(failed)
-        before = {router: fleet.usage([router], KINDS) for router in others}
+        before = {router: fleet.usage([router], TRAFFIC_KINDS) for router in others}
         times.append(fleet.run_until(lambda: fleet.lease_holder() is not None, MAX_SECONDS))
-        sent = [(fleet.usage([router], KINDS) - before[router]).packets_sent for router in others]
+        sent = [(fleet.usage([router], TRAFFIC_KINDS) - before[router]).packets_sent for router in others]
         packets.append(sum(sent))
         candidates.append(sum(count >= len(others) for count in sent))
         fleet.start(failed)
@@ -86,10 +88,10 @@
 
 
 def _contention_values(fleet: Fleet) -> dict[str, float]:
-    """Traffic once the lease has a new holder: candidates that lost may still request all votes."""
-    before = {router: fleet.usage([router], KINDS) for router in fleet.processes}
+    """Measure traffic once the lease has a new holder. Candidates that lost may still request all votes."""
+    before = {router: fleet.usage([router], TRAFFIC_KINDS) for router in fleet.processes}
     fleet.run(CONTENTION_SECONDS)
-    used = {router: fleet.usage([router], KINDS) - earlier for router, earlier in before.items()}
+    used = {router: fleet.usage([router], TRAFFIC_KINDS) - earlier for router, earlier in before.items()}
     holder = fleet.lease_holder()
     contending = [
         router
--- a/grebeproxy/lab/control/membership.py
+++ b/grebeproxy/lab/control/membership.py
@@ -1,4 +1,4 @@
-"""Membership: a quiet fleet, the failure of one router, and its return."""
+"""Measures membership in a quiet fleet, at the failure of one router, and at its restart."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 SETTLING_SECONDS = 5.0
 QUIET_SECONDS = 10.0
 MAX_SECONDS = 120.0
-KINDS = (Traffic.MEMBERSHIP,)
+TRAFFIC_KINDS = (Traffic.MEMBERSHIP,)
 
 
 @dataclass(frozen=True, slots=True)
 class Restart:
-    """A router that was started again, and what all others had used and what time it was before that."""
+    """The restart of a router, its time, and what all other routers had used before it."""
 
     router: int
     started_at: float
@@ -29,7 +29,7 @@
 
 
 def measure(size: int, seed: int) -> list[Point]:
-    """All points of one size."""
+    """Measure traffic, failures and restarts in a fleet of one size, and the memory of one router."""
     fleet = converged_fleet(size, seed, SETTLING_SECONDS)
     quiet = quiet_usage(fleet)
     values = {**quiet.rates("quiet", size * QUIET_SECONDS), **_failure_values(fleet, quiet)}
@@ -39,14 +39,14 @@
 
 
 def quiet_usage(fleet: Fleet) -> Usage:
-    """What all routers use in ``QUIET_SECONDS``."""
-    before = fleet.usage(range(fleet.size), KINDS)
+    """Return what all routers use in ``QUIET_SECONDS``."""
+    before = fleet.usage(range(fleet.size), TRAFFIC_KINDS)
     fleet.run(QUIET_SECONDS)
-    return fleet.usage(range(fleet.size), KINDS) - before
+    return fleet.usage(range(fleet.size), TRAFFIC_KINDS) - before
 
 
 def _failure_values(fleet: Fleet, quiet: Usage) -> dict[str, float]:
-    """Crash routers one after another; each restarts once all others know of its failure."""
+    """Crash routers one after another. Each restarts once all others know of its failure."""
     failed = [fleet.size // 2 + number for number in range(FAILURES)]
     known_by_first: list[float] = []
     known_by_all: list[float] = []
@@ -57,7 +57,7 @@
         known_by_all.append(_seconds_until_known(fleet, router))
         known_by_first.append(_first_report_at(fleet, router, killed_at) - killed_at)
         fleet.run(SETTLING_SECONDS)
-        restart = Restart(router, fleet.now, fleet.usage(_others(fleet, router), KINDS))
+        restart = Restart(router, fleet.now, fleet.usage(_others(fleet, router), TRAFFIC_KINDS))
         fleet.start(router)
         joined.append(fleet.run_until(lambda: fleet.has_converged(range(fleet.size)), MAX_SECONDS))
     restart_values = _restart_values(fleet, restart, quiet)
@@ -86,13 +86,13 @@
 
 
 def _restart_values(fleet: Fleet, restart: Restart, quiet: Usage) -> dict[str, float]:
-    """What a restart costs the router itself, and each other one beyond what it uses when quiet."""
+    """Return what a restart costs the restarted router, and each other router beyond its usage when quiet."""
     joiner = fleet.processes[restart.router]
     fleet.run_until(lambda: not len(joiner.node.members.gossip_queue), MAX_SECONDS)
     seconds = fleet.now - restart.started_at
-    own = joiner.account.total(KINDS)
+    own = joiner.account.total(TRAFFIC_KINDS)
     others = _others(fleet, restart.router)
-    used = fleet.usage(others, KINDS) - restart.usage_of_others
+    used = fleet.usage(others, TRAFFIC_KINDS) - restart.usage_of_others
     quiet_fraction = seconds / QUIET_SECONDS / fleet.size
     return {
         "join_received_bytes": own.bytes_received,
--- a/grebeproxy/lab/control/memory.py
+++ b/grebeproxy/lab/control/memory.py
@@ -14,17 +14,22 @@
 from grebeproxy.peers import node
 from grebeproxy.replica import Limits
 
-MEMORY_FACTOR = 4  # memory is measured with more members than a fleet's traffic, since one router is enough
+# Members in a measurement of memory, as a multiple of the fleet size. Memory is measured on a single router,
+# so that more members are affordable than in a simulated fleet.
+MEMORY_FACTOR = 4
 CHANGE_COUNT_BITS = 48
 
 
 def membership_bytes(members: int, seed: int) -> int:
-    """Bytes taken by the facts of all members and the replay windows of their packets."""
+    """Return the bytes taken by the facts of all members and the replay windows of their packets."""
     return _traced_bytes(members, seed, key_bytes=0)
 
 
 def replica_bytes(members: int, seed: int, key_bytes: int) -> int:
-    """The same with copies of one key of each member. Beyond ``Limits.origins`` a store rejects copies."""
+    """Return the bytes taken by membership and by copies of one key of each member.
+
+    A store rejects copies of further origins once it holds ``Limits.origins``.
+    """
     return _traced_bytes(members, seed, key_bytes)
 
 
@@ -37,8 +42,8 @@
     try:
         before, _ = tracemalloc.get_traced_memory()
         core = node.Node(config, rng.getrandbits(INSTANCE_BITS), Random(seed), START_TIME, Limits())
-        sealed = PacketCodec(KEY, core.instance, config.settings_digest)
-        payloads = [sealed.open(packet) for packet in packets]
+        codec = PacketCodec(KEY, core.instance, config.settings_digest)
+        payloads = [codec.open(packet) for packet in packets]
         senders = [
             wire.unpack_message(payload[1]).sender for payload in payloads if payload[0] == node.MEMBER
         ]
@@ -57,12 +62,12 @@
 
 
 def _packets(member: int, rng: Random, fleet: Fleet, key_bytes: int) -> list[bytes]:
-    """The packets one member sends: a ping, and a change of its key if it has one."""
+    """Return the packets that one member sends: a ping, and a change of its key if ``key_bytes`` is not 0."""
     instance = rng.getrandbits(INSTANCE_BITS)
-    sealed = PacketCodec(KEY, instance, fleet.config(member).settings_digest)
+    codec = PacketCodec(KEY, instance, fleet.config(member).settings_digest)
     fact = Fact(name(member), address(member), instance, 0, State.ALIVE)
     ping = Message(Kind.PING, fact, number=1, target=name(0))
-    packets = [sealed.seal([node.MEMBER, wire.pack_message(ping)])]
+    packets = [codec.seal([node.MEMBER, wire.pack_message(ping)])]
     if key_bytes:
         entry = [KEY_NAME, 1, rng.randbytes(key_bytes)]
         delta = [
@@ -76,5 +81,5 @@
             0.0,
             [entry],
         ]
-        packets.append(sealed.seal(delta))
+        packets.append(codec.seal(delta))
     return packets
--- a/grebeproxy/lab/control/model.py
+++ b/grebeproxy/lab/control/model.py
@@ -1,4 +1,4 @@
-"""Plain values of the simulated fleet: its network, its processes and its queued events. Times in seconds."""
+"""Data classes of the simulated fleet: its network, processes and queued events. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Network:
-    """Delay of a datagram in seconds, uniform between two bounds, and the probability that it is lost."""
+    """The delay of a datagram, uniform between two bounds, and the probability that the datagram is lost."""
 
     min_delay: float = 0.001
     max_delay: float = 0.01
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureReport:
-    """A router declared another one failed, at a simulated time in seconds."""
+    """The report of a router that declared another router failed at a simulated time."""
 
     time: float
     reporter: int
@@ -39,16 +39,16 @@
 
     router: int
     node: node.Node
-    sealed: PacketCodec
+    codec: PacketCodec
     account: Account
     wake_at: float = NEVER
 
 
 class Scheduled(NamedTuple):
-    """A queued event, ordered by time: the timer of ``sleeper``, or a packet's arrival without one."""
+    """A queued event, ordered by time: a timer of ``timer_owner``, or else the arrival of a packet."""
 
     time: float
     order: int
     router: int
-    sleeper: Process | None
+    timer_owner: Process | None
     packet: bytes
--- a/grebeproxy/lab/control/outage.py
+++ b/grebeproxy/lab/control/outage.py
@@ -1,4 +1,4 @@
-"""Many routers at once: all restart, a rack or a zone is lost and returns, two regions are partitioned."""
+"""Measures outages of many routers: a restart of all, a lost rack, a lost zone, two partitioned regions."""
 
 from __future__ import annotations
 
@@ -13,29 +13,32 @@
 
 SIZES = (60, 120, 180, 240)
 REGIONS_SIZES = (30, 60, 120, 240)
-RACKS = 24  # of the fleet: a rack is a quarter of a zone
+RACKS = 24  # in the fleet, so that a rack is a quarter of a zone
 LOST_ZONE = 0
 FIRST_ZONE_OF_SECOND_REGION = ZONES // 2
 SETTLING_SECONDS = 3.0
 OUTAGE_SECONDS = 30.0
 MAX_SECONDS = 90.0
 INTERVAL_SECONDS = 0.5  # between two readings of what each router has sent
-SHORTEST_SECONDS = 1e-9  # stands for no time at all where a rate is computed
+SHORTEST_SECONDS = 1e-9  # replaces an elapsed time of zero, by which a rate cannot be divided
 
 
 @dataclass(frozen=True, slots=True)
 class Convergence:
-    """How long something took, and what routers sent meanwhile; ``reached`` says whether it came about."""
+    """How long a condition took to become true, and what routers sent meanwhile.
+
+    ``reached`` says whether the condition became true within ``MAX_SECONDS``.
+    """
 
     reached: bool
     seconds: float
     mean_bytes: float
-    max_bytes: float  # of one router
-    max_bytes_per_s: float  # of one router, in one of the intervals
-    cpu_percent: float  # of a core, the mean over routers and time
+    max_bytes: float  # greatest number of bytes sent by one router
+    max_bytes_per_s: float  # greatest rate of one router in one interval
+    cpu_percent: float  # mean over routers and time, in percent of a core
 
     def values(self, name: str) -> dict[str, float]:
-        """The recorded values, each named by a prefix; no time where it did not come about."""
+        """Return the values to record under names with a prefix, without the time if it was not reached."""
         values = {
             f"{name}_bytes": self.mean_bytes,
             f"{name}_most_bytes": self.max_bytes,
@@ -49,17 +52,17 @@
 
 
 def measure_restart(size: int, seed: int) -> list[Point]:
-    """All routers restart at once; a rack fails and returns."""
+    """Measure a restart of all routers at once, and a rack that fails and returns."""
     return [Point({"members": size}, {**_restart_values(size, seed), **_rack_values(size, seed)})]
 
 
 def measure_zone(size: int, seed: int) -> list[Point]:
-    """A zone is partitioned from the others and returns."""
+    """Measure a zone that is partitioned from the others and returns."""
     return [Point({"members": size}, _zone_values(size, seed))]
 
 
 def measure_regions(size: int, seed: int) -> list[Point]:
-    """Two regions of three zones each are partitioned, and the partition heals."""
+    """Measure a partition between two regions of three zones each, and its healing."""
     return [Point({"members": size}, _region_values(size, seed))]
 
 
@@ -94,12 +97,12 @@
 
 
 def _region_values(size: int, seed: int) -> dict[str, float]:
-    """Two halves: the time until no router on either side is quorate, and until all views agree again."""
+    """Measure the time until no router in either half is quorate, and until all views agree again."""
     fleet = converged_fleet(size, seed, SETTLING_SECONDS)
     _partition(fleet, lambda router: zone(router) < FIRST_ZONE_OF_SECOND_REGION)
-    partitioned = _observe(fleet, range(size), lambda: _quorate(fleet) == 0)
+    partitioned = _observe(fleet, range(size), lambda: _count_quorate(fleet) == 0)
     _wait_for_end_of_outage(fleet, partitioned)
-    quorate = _quorate(fleet)
+    quorate = _count_quorate(fleet)
     fleet.partitioned = None
     healed = _observe_convergence(fleet, range(size))
     values = {**partitioned.values("regions_parted"), **healed.values("regions_healed")}
@@ -115,13 +118,13 @@
     fleet.run(max(0.0, OUTAGE_SECONDS - lost.seconds))
 
 
-def _quorate(fleet: Fleet) -> int:
-    """How many routers count themselves as part of a majority."""
+def _count_quorate(fleet: Fleet) -> int:
+    """Return how many routers see themselves as part of a majority."""
     return sum(process.node.view.quorate for process in fleet.processes.values())
 
 
 def _observe_convergence(fleet: Fleet, routers: Sequence[int]) -> Convergence:
-    """Run until the views of these routers hold exactly these routers."""
+    """Run until the views of the given routers hold exactly the given routers."""
     return _observe(fleet, routers, lambda: fleet.has_converged(routers))
 
 
@@ -140,7 +143,7 @@
         except NotReachedError:
             seconds = INTERVAL_SECONDS
         current = _bytes_sent(fleet, routers)
-        # The last interval may be shorter, and counts only where there is no other one.
+        # The last interval may be shorter. It counts only if it is the only one.
         if seconds >= INTERVAL_SECONDS or max_interval_bytes == 0:
             max_interval_bytes = max(max_interval_bytes, *_differences(current, last))
         last = current
--- a/grebeproxy/lab/control/replica.py
+++ b/grebeproxy/lab/control/replica.py
@@ -1,4 +1,4 @@
-"""Replicated state with one small key for each router: a quiet fleet, a change, and a join."""
+"""Measures replicated state with one small key for each router: a quiet fleet, a change, and a join."""
 
 from __future__ import annotations
 
@@ -13,17 +13,19 @@
 
 SIZES = (30, 60, 120, 240)
 KEY_BYTES = 16
-MAX_CHANGE_SIZE = 240  # above it only the quiet fleet is measured, to bound the time of the run
+# Largest fleet in which a change and a join are measured. In larger ones only the quiet fleet is measured,
+# which bounds the time of the run.
+MAX_CHANGE_SIZE = 240
 SETTLING_SECONDS = 6.0
-EXPIRY_SECONDS = 16.0  # after which a copy that was not refreshed has expired
+EXPIRY_SECONDS = 16.0  # after this time, a copy that was not refreshed has expired
 QUIET_SECONDS = 5.0
 MAX_CHANGE_SECONDS = 20.0
 MAX_JOIN_SECONDS = 10.0
-KINDS = (Traffic.REPLICA,)
+TRAFFIC_KINDS = (Traffic.REPLICA,)
 
 
 def measure(size: int, seed: int) -> list[Point]:
-    """All points of one size."""
+    """Measure a quiet fleet, a change and a join in a fleet of one size, and the memory of one router."""
     fleet = Fleet(size, seed, limits=Limits(), key_bytes=KEY_BYTES)
     fleet.start_converged()
     fleet.run(SETTLING_SECONDS if size <= MAX_CHANGE_SIZE else EXPIRY_SECONDS)
@@ -40,9 +42,9 @@
 
 def _quiet_values(fleet: Fleet) -> dict[str, float]:
     routers = range(fleet.size)
-    before = fleet.usage(routers, KINDS)
+    before = fleet.usage(routers, TRAFFIC_KINDS)
     fleet.run(QUIET_SECONDS)
-    used = fleet.usage(routers, KINDS) - before
+    used = fleet.usage(routers, TRAFFIC_KINDS) - before
     return {
         **used.rates("quiet", fleet.size * QUIET_SECONDS),
         "copies_held_percent": 100.0 * _stored_fraction(fleet),
@@ -50,13 +52,13 @@
 
 
 def _stored_fraction(fleet: Fleet) -> float:
-    """The fraction of all copies of keys that routers store; 1 where each stores the keys of all."""
+    """Return the fraction of all copies of keys that routers store; 1 if each stores the keys of all."""
     stored = sum(len(process.node.store.values_by_origin(KEY_NAME)) for process in fleet.processes.values())
     return stored / len(fleet.processes) / fleet.size
 
 
 def _change_values(fleet: Fleet) -> dict[str, float]:
-    """Change router 0's key; no time is given where some router lacks it after ``MAX_CHANGE_SECONDS``."""
+    """Change router 0's key. Omit the time if a router lacks the value after ``MAX_CHANGE_SECONDS``."""
     value = b"\xff" * KEY_BYTES
     fleet.processes[0].node.store.publish(fleet.now, KEY_NAME, value)
 
@@ -72,7 +74,7 @@
 
 
 def _join_values(fleet: Fleet) -> dict[str, float]:
-    """Restart one router, whose new process knows only the seeds."""
+    """Restart one router. Its new process knows only the seeds."""
     router = fleet.size // 2
     fleet.start(router)
     process = fleet.processes[router]
@@ -85,5 +87,5 @@
         values["join_s"] = fleet.run_until(lambda: copies() >= fleet.size - 1, MAX_JOIN_SECONDS)
     except NotReachedError:
         values["join_copies_percent"] = 100.0 * copies() / fleet.size
-    values["join_received_bytes"] = process.account.total(KINDS).bytes_received
+    values["join_received_bytes"] = process.account.total(TRAFFIC_KINDS).bytes_received
     return values
--- a/grebeproxy/lab/control/usage.py
+++ b/grebeproxy/lab/control/usage.py
@@ -1,4 +1,4 @@
-"""What one simulated router has used, by kind of traffic."""
+"""Packets, bytes and CPU time that one simulated router has used, by kind of traffic."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from grebeproxy.peers.node import DELTA, DIGEST, MEMBER, VOTE
 
-NANOSECONDS_PER_PERCENT = 1e7  # processor time in a second that is one percent of a core
+NANOSECONDS_PER_PERCENT = 1e7  # nanoseconds of CPU time per second that are one percent of a core
 
 
 class Traffic(Enum):
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Usage:
-    """Counters since a router's start. Bytes are those of sealed packets, without headers of UDP and IP."""
+    """Counters since a router's start. Bytes are those of sealed packets, without UDP and IP headers."""
 
     packets_sent: int = 0
     bytes_sent: int = 0
@@ -38,17 +38,17 @@
     cpu_ns: int = 0
 
     def __add__(self, other: Usage) -> Usage:
-        """The sum of each counter."""
+        """Return the sums of the counters."""
         return Usage(*(getattr(self, name) + getattr(other, name) for name in COUNTERS))
 
     def __sub__(self, earlier: Usage) -> Usage:
-        """What was used since an earlier reading."""
+        """Return what was used since an earlier reading."""
         return Usage(*(getattr(self, name) - getattr(earlier, name) for name in COUNTERS))
 
     def rates(self, prefix: str, router_seconds: float) -> dict[str, float]:
-        """Packets and bytes sent a second, and CPU in percent of a core, as values named by a prefix.
+        """Return packets and bytes sent per second, and CPU in percent of a core, under names with a prefix.
 
-        ``router_seconds`` is the number of routers that are counted times the seconds that passed.
+        ``router_seconds`` is the number of counted routers times the seconds that passed.
         """
         return {
             f"{prefix}_packets_per_s": self.packets_sent / router_seconds,
@@ -67,5 +67,5 @@
     by_traffic: dict[Traffic, Usage] = field(default_factory=lambda: {kind: Usage() for kind in Traffic})
 
     def total(self, kinds: Iterable[Traffic] = tuple(Traffic)) -> Usage:
-        """The sum over kinds of traffic."""
+        """Return the total usage over some kinds of traffic."""
         return sum((self.by_traffic[kind] for kind in kinds), start=Usage())
--- a/tests/test_lab_control.py
+++ b/tests/test_lab_control.py
@@ -1,4 +1,4 @@
-"""The simulated fleets behind the control rows of the capacity page."""
+"""Tests of the simulated fleets that measure the control code for the capacity page."""
 
 from __future__ import annotations
 
@@ -23,46 +23,46 @@
 from grebeproxy.peers import node
 from grebeproxy.replica import Limits
 
-SMALL = 24
+FLEET_SIZE = 24
 
 
-def converged(size: int = SMALL, seed: int = 1) -> Fleet:
+def start_converged_fleet(size: int = FLEET_SIZE, seed: int = 1) -> Fleet:
     fleet = Fleet(size, seed)
     fleet.start_converged()
     return fleet
 
 
-def ping(sender: int, target: int) -> list[object]:
+def ping_payload(sender: int, target: int) -> list[object]:
     fact = Fact(name(sender), address(sender), 1, 0, State.ALIVE)
     return [node.MEMBER, pack_message(Message(Kind.PING, fact, number=1, target=name(target)))]
 
 
-def counts(fleet: Fleet) -> list[Usage]:
-    """What each router used, without processor time, which no two runs share."""
+def usage_without_cpu(fleet: Fleet) -> list[Usage]:
+    """Return what each router used, with CPU time set to 0 because it differs between runs."""
     usage = [fleet.usage([router]) for router in sorted(fleet.processes)]
     for counted in usage:
         counted.cpu_ns = 0
     return usage
 
 
-def test_routers_that_know_only_the_seeds_come_to_know_all() -> None:
-    fleet = Fleet(SMALL, seed=1)
-    fleet.start(*range(SMALL))
-    fleet.run_until(lambda: fleet.has_converged(range(SMALL)), 30.0)
-    assert len(fleet.members_seen_by(0)) == SMALL
+def test_routers_that_know_only_the_seeds_learn_of_all_routers() -> None:
+    fleet = Fleet(FLEET_SIZE, seed=1)
+    fleet.start(*range(FLEET_SIZE))
+    fleet.run_until(lambda: fleet.has_converged(range(FLEET_SIZE)), 30.0)
+    assert len(fleet.members_seen_by(0)) == FLEET_SIZE
 
 
-def test_a_converged_fleet_is_what_a_fleet_becomes_that_has_run_for_long() -> None:
-    grown, made = Fleet(SMALL, seed=1), converged()
-    grown.start(*range(SMALL))
-    grown.run(60.0)
-    made.run(20.0)
+def test_a_fleet_started_as_converged_sends_as_much_as_one_that_has_converged() -> None:
+    started, preset = Fleet(FLEET_SIZE, seed=1), start_converged_fleet()
+    started.start(*range(FLEET_SIZE))
+    started.run(60.0)
+    preset.run(20.0)
     rates = []
-    for fleet in (grown, made):
-        before = fleet.usage(range(SMALL))
+    for fleet in (started, preset):
+        before = fleet.usage(range(FLEET_SIZE))
         fleet.run(40.0)
-        rates.append(fleet.usage(range(SMALL)) - before)
-    assert grown.has_converged(range(SMALL)) and made.has_converged(range(SMALL))
+        rates.append(fleet.usage(range(FLEET_SIZE)) - before)
+    assert started.has_converged(range(FLEET_SIZE)) and preset.has_converged(range(FLEET_SIZE))
     assert rates[0].packets_sent == pytest.approx(rates[1].packets_sent, rel=0.03)
     assert rates[0].bytes_sent == pytest.approx(rates[1].bytes_sent, rel=0.03)
 
@@ -77,38 +77,38 @@
         return packet
 
     monkeypatch.setattr(PacketCodec, "seal", counting)
-    fleet = Fleet(SMALL, seed=1, limits=Limits(), duties=(DUTY,), key_bytes=16)
+    fleet = Fleet(FLEET_SIZE, seed=1, limits=Limits(), duties=(DUTY,), key_bytes=16)
     fleet.start_converged()
     fleet.request_lease(0)
     fleet.run(5.0)
-    used = fleet.usage(range(SMALL))
+    used = fleet.usage(range(FLEET_SIZE))
     assert (used.packets_sent, used.bytes_sent) == (len(sealed_lengths), sum(sealed_lengths))
     for kind in Traffic:
-        assert fleet.usage(range(SMALL), [kind]).packets_sent > 0
+        assert fleet.usage(range(FLEET_SIZE), [kind]).packets_sent > 0
 
 
-def test_all_that_is_sent_arrives_within_the_delay_or_is_lost() -> None:
-    fleet = converged()
+def test_each_packet_arrives_within_the_delay_or_is_lost() -> None:
+    fleet = start_converged_fleet()
     fleet.run(10.0)
     for process in fleet.processes.values():
-        process.wake_at = float("inf")  # nothing more is begun
+        process.wake_at = float("inf")  # no further timer fires
     fleet.run(0.1)
-    used = fleet.usage(range(SMALL))
+    used = fleet.usage(range(FLEET_SIZE))
     assert (used.packets_received, used.bytes_received) == (used.packets_sent, used.bytes_sent)
-    lossy = Fleet(SMALL, seed=1, network=Network(loss=0.2))
+    lossy = Fleet(FLEET_SIZE, seed=1, network=Network(loss=0.2))
     lossy.start_converged()
     lossy.run(30.0)
-    lost = lossy.usage(range(SMALL))
+    lost = lossy.usage(range(FLEET_SIZE))
     assert lost.packets_received / lost.packets_sent == pytest.approx(0.8, abs=0.03)
 
 
 def test_a_packet_that_is_late_by_more_than_the_window_is_rejected_and_counted() -> None:
-    fleet = converged()
+    fleet = start_converged_fleet()
     fleet._queue.clear()
     sender = fleet.processes[1]
-    fleet._send(sender, address(0), ping(1, 0))
-    sender.sealed._number += REPLAY_WINDOW  # what it has sent to others meanwhile
-    fleet._send(sender, address(0), ping(1, 0))
+    fleet._send(sender, address(0), ping_payload(1, 0))
+    sender.codec._number += REPLAY_WINDOW  # as if the sender had sent this many packets to other routers
+    fleet._send(sender, address(0), ping_payload(1, 0))
     first, late = sorted(fleet._queue, key=lambda arrival: arrival[1], reverse=True)
     before = fleet.usage([0]).packets_received
     for *_, packet in (first, late):
@@ -117,65 +117,65 @@
 
 
 def test_the_same_seed_gives_the_same_run_and_another_one_does_not() -> None:
-    fleets = [converged(seed=seed) for seed in (7, 7, 8)]
+    fleets = [start_converged_fleet(seed=seed) for seed in (7, 7, 8)]
     for fleet in fleets:
         fleet.run(5.0)
         fleet.kill(3)
         fleet.run(15.0)
         fleet.start(3)
         fleet.run(5.0)
-    first, again, other = (counts(fleet) for fleet in fleets)
+    first, again, other = (usage_without_cpu(fleet) for fleet in fleets)
     assert first == again
     assert first != other
     assert fleets[0].failure_reports == fleets[1].failure_reports
 
 
 def test_a_partitioned_zone_is_a_minority_and_rejoins_when_the_partition_heals() -> None:
-    fleet = converged()
+    fleet = start_converged_fleet()
     fleet.run(3.0)
-    remaining = [router for router in range(SMALL) if zone(router) != 0]
+    remaining = [router for router in range(FLEET_SIZE) if zone(router) != 0]
     fleet.partitioned = lambda sender, receiver: (zone(sender) == 0) != (zone(receiver) == 0)
     fleet.run_until(lambda: fleet.has_converged(remaining), 60.0)
     partitioned = fleet.processes[0].node.view
     assert partitioned.condition in (Condition.MINORITY, Condition.ALONE)
     assert fleet.processes[remaining[0]].node.view.quorate
     assert {report.failed for report in fleet.failure_reports if report.reporter in remaining} == {
-        name(router) for router in range(SMALL) if zone(router) == 0
+        name(router) for router in range(FLEET_SIZE) if zone(router) == 0
     }
     fleet.partitioned = None
-    fleet.run_until(lambda: fleet.has_converged(range(SMALL)), 60.0)
+    fleet.run_until(lambda: fleet.has_converged(range(FLEET_SIZE)), 60.0)
 
 
 def test_a_condition_that_is_not_reached_is_an_error_with_its_time_limit() -> None:
-    fleet = converged()
-    began = fleet.now
+    fleet = start_converged_fleet()
+    started_at = fleet.now
     with pytest.raises(NotReachedError, match="not within 2 s with 24 routers"):
         fleet.run_until(lambda: False, 2.0)
-    assert fleet.now - began == pytest.approx(2.0, abs=0.1)
+    assert fleet.now - started_at == pytest.approx(2.0, abs=0.1)
 
 
 def test_membership_points_hold_a_quiet_fleet_a_failure_and_a_join() -> None:
-    values, resident = membership.measure(SMALL, seed=1)
-    assert values.sizes == {"members": SMALL}
+    values, resident = membership.measure(FLEET_SIZE, seed=1)
+    assert values.sizes == {"members": FLEET_SIZE}
     assert 4.0 < values.values["quiet_packets_per_s"] < 4.5
     assert 0 < values.values["failure_known_to_first_s"] <= values.values["failure_known_to_all_s"]
     assert values.values["failure_known_to_all_s"] <= values.values["failure_known_to_all_most_s"] < 20.0
     assert values.values["false_alarms"] == 0
-    # Each fact has at least the name and the address of a member.
-    assert values.values["join_received_bytes"] > (SMALL - 1) * len(name(0) + "10.0.0.0")
-    assert resident.sizes == {"members": SMALL * memory.MEMORY_FACTOR}
+    # Each fact holds at least the name and the address of a member.
+    assert values.values["join_received_bytes"] > (FLEET_SIZE - 1) * len(name(0) + "10.0.0.0")
+    assert resident.sizes == {"members": FLEET_SIZE * memory.MEMORY_FACTOR}
     assert resident.values["memory_kb"] > 0
 
 
 def test_a_lease_is_renewed_with_a_packet_to_each_other_member_and_is_taken_over() -> None:
-    [point] = lease.measure(SMALL, seed=1)
-    assert point.values["renewal_packets_sent"] == pytest.approx(SMALL - 1, abs=0.2 * SMALL)
+    [point] = lease.measure(FLEET_SIZE, seed=1)
+    assert point.values["renewal_packets_sent"] == pytest.approx(FLEET_SIZE - 1, abs=0.2 * FLEET_SIZE)
     assert 1.0 < point.values["takeover_s"] <= point.values["takeover_most_s"]
-    assert point.values["takeover_packets"] >= SMALL - 1
+    assert point.values["takeover_packets"] >= FLEET_SIZE - 1
 
 
-def test_a_handover_has_its_parts_and_an_ordered_one_needs_no_detection() -> None:
-    [point] = handover.measure(SMALL, seed=1)
+def test_a_handover_is_detection_and_decision_and_a_graceful_one_needs_no_detection() -> None:
+    [point] = handover.measure(FLEET_SIZE, seed=1)
     assert point.values["stopped_detection_s"] < 0.1 < point.values["failed_detection_s"]
     parts = point.values["failed_detection_s"] + point.values["failed_decision_s"]
     assert 0.9 * parts <= point.values["failed_most_s"] < 30.0
@@ -183,36 +183,39 @@
 
 
 def test_each_router_stores_the_keys_of_all_and_a_change_reaches_all() -> None:
-    point, resident = replica.measure(SMALL, seed=1)
+    point, resident = replica.measure(FLEET_SIZE, seed=1)
     assert point.values["copies_held_percent"] == point.values["change_reached_percent"] == 100.0
     assert 0 < point.values["change_to_all_s"] < 10.0
-    assert point.values["join_received_bytes"] > SMALL * replica.KEY_BYTES
+    assert point.values["join_received_bytes"] > FLEET_SIZE * replica.KEY_BYTES
     assert resident.values["memory_kb"] > 0
 
 
 def test_published_keys_are_the_same_at_all_routers_from_the_start() -> None:
-    fleet = Fleet(SMALL, seed=1, limits=Limits(), key_bytes=16)
+    fleet = Fleet(FLEET_SIZE, seed=1, limits=Limits(), key_bytes=16)
     fleet.start_converged()
     keys = [process.node.store.values_by_origin(KEY_NAME) for process in fleet.processes.values()]
-    assert len(keys[0]) == SMALL and all(stored == keys[0] for stored in keys)
+    assert len(keys[0]) == FLEET_SIZE and all(stored == keys[0] for stored in keys)
 
 
-def test_of_two_regions_apart_neither_acts_and_both_agree_again() -> None:
-    [point] = outage.measure_regions(SMALL, seed=1)
+def test_of_two_partitioned_regions_neither_is_quorate_and_views_agree_after_healing() -> None:
+    [point] = outage.measure_regions(FLEET_SIZE, seed=1)
     assert point.values["regions_parted_quorate_routers"] == 0
     for outcome in ("regions_parted_s", "regions_healed_s"):
         assert 0 < point.values[outcome] < outage.MAX_SECONDS
 
 
-def test_outages_come_to_an_end_and_the_busiest_router_sends_no_less_than_the_mean() -> None:
-    [restart], [cut] = outage.measure_restart(SMALL, seed=1), outage.measure_zone(SMALL, seed=1)
-    values = {**restart.values, **cut.values}
+def test_fleets_converge_after_outages_and_the_busiest_router_sends_no_less_than_the_mean() -> None:
+    [restart], [zone_outage] = (
+        outage.measure_restart(FLEET_SIZE, seed=1),
+        outage.measure_zone(FLEET_SIZE, seed=1),
+    )
+    values = {**restart.values, **zone_outage.values}
     for outcome in ("all_restart", "rack_lost", "rack_returned", "zone_lost", "zone_returned"):
         assert 0 < values[f"{outcome}_s"] < outage.MAX_SECONDS
         assert values[f"{outcome}_most_bytes"] >= values[f"{outcome}_bytes"] > 0
 
 
-def test_memory_grows_with_members_and_is_that_of_an_open_router() -> None:
+def test_memory_grows_with_the_number_of_members_and_with_replicated_keys() -> None:
     few, many = memory.membership_bytes(50, seed=1), memory.membership_bytes(200, seed=1)
     assert 150 * 100 < many - few < 150 * 4000  # bytes for each further member
     assert memory.replica_bytes(200, seed=1, key_bytes=16) > many
