--- a/grebeproxy/lab/subsets/__init__.py
+++ b/grebeproxy/lab/subsets/__init__.py
@@ -1,1 +1,1 @@
-"""Simulation of ways to give each router a subset of the engines; the findings are in ``docs/SUBSETS.md``."""
+"""Simulates schemes that assign each router a subset of the engines; ``docs/SUBSETS.md`` has the findings."""
--- a/grebeproxy/lab/subsets/balance.py
+++ b/grebeproxy/lab/subsets/balance.py
@@ -1,4 +1,4 @@
-"""Measures of balance: sharers of engines, connections, and load of the most loaded engine."""
+"""Measures of balance: routers that share an engine, connections, and load of the most loaded engine."""
 
 from __future__ import annotations
 
@@ -18,24 +18,28 @@
 )
 from grebeproxy.lab.subsets.windows import NO_ENGINE
 
-SharersBySize = Integers  # a row for each subset size from 0 on, with the sharers of each engine
+SharersBySize = Integers  # one row per subset size, from 0 on: number of sharers by engine
 
 
 class Connections(NamedTuple):
-    """Connections, one for each pair, by engine of the list and by router."""
+    """Numbers of connections by engine of the list and by router, with one connection for each pair."""
 
     per_engine: Integers
     per_router: Integers
 
     @classmethod
     def of(cls, pairs: Pairs, fleet: Fleet) -> Connections:
-        """The connections of these pairs."""
+        """Counts the connections of the given pairs."""
         per_engine = pairs.sharers()[fleet.engines.number]
         return cls(per_engine, np.bincount(pairs.router, minlength=len(fleet.routers)))
 
 
 def sharer_counts(scheme: Scheme, fleet: Fleet) -> Values:
-    """Routers that share an engine, and connections, of the windows as they are used."""
+    """Counts the routers that share an engine, and each router's connections.
+
+    ``blind`` counts only the windows over all engines, ``both`` also the windows over the engines of the
+    router's zone.
+    """
     result: Values = {}
     for name, pairs in (("blind", fleet_pairs(scheme, fleet)), ("both", subset_pairs(scheme, fleet))):
         sharers, per_router = Connections.of(pairs, fleet)
@@ -53,7 +57,7 @@
 
 
 def connections(scheme: Scheme, fleet: Fleet, rng: np.random.Generator) -> Values:
-    """Connections at engines and at routers when busier routers have larger subsets."""
+    """Counts connections at engines and at routers where busier routers have larger subsets."""
     result: Values = {}
     for name, traffic in traffic_patterns(len(fleet.routers), rng).items():
         pairs = subset_pairs(scheme, fleet, traffic)
@@ -67,11 +71,12 @@
 
 
 def loads(scheme: Scheme, fleet: Fleet, rng: np.random.Generator) -> Values:
-    """Load of the most loaded engine over the mean, by pattern of traffic and by how routers split theirs.
+    """Load of the most loaded engine over the mean load, by traffic pattern and by how routers split traffic.
 
-    ``weighted`` weights an engine by one over the routers that share it, as a router with a subset of that
-    size counts them; in a zone's windows ``weighted_by_all`` counts the routers of all zones, for routers
-    that do not know the zones of others.
+    With ``weighted``, a router weights an engine by one over the number of routers that share the engine. The
+    router counts the sharers as if all routers had subsets of its own size. In the windows of a zone,
+    ``weighted_by_all`` counts the routers of all zones, as a router does that does not know the zones of the
+    other routers.
     """
     sharers_of = {"blind": _fleet_sharers(scheme, fleet)}
     pairs_of = {"blind": fleet_pairs}
@@ -118,7 +123,7 @@
 
 
 def _sharers_by_size(scheme: Scheme, fleet: Fleet, engines: Engines, routers: Routers) -> SharersBySize:
-    """Routers that would share each engine if all had subsets of one size, for each size from 0 on."""
+    """For each subset size from 0 on, the routers that would share each engine if all used that size."""
     max_size = _max_subset_size(fleet)
     sizes = np.full(len(routers), min(max_size, len(engines) - 1), dtype=np.int64)
     rows = scheme.windows(engines, routers, sizes)
@@ -127,5 +132,5 @@
         engine = rows[:, column]
         result[column + 1] = np.bincount(engine[engine != NO_ENGINE], minlength=fleet.universe)
     result = np.cumsum(result, axis=0)
-    result[len(engines) :, engines.number] = len(routers)  # a subset of that size has all engines
+    result[len(engines) :, engines.number] = len(routers)  # subsets of at least this size hold all engines
     return result
--- a/grebeproxy/lab/subsets/command.py
+++ b/grebeproxy/lab/subsets/command.py
@@ -1,4 +1,4 @@
-"""``python -m grebeproxy.lab subsets``: simulate the schemes and write a record."""
+"""The command ``python -m grebeproxy.lab subsets``, which simulates the schemes and writes a record."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 ENGINES = "80,400,800,1600,3200"
 MIN_ENGINES_PER_ZONE = 2
 NOTE = "values are means over seeds; *.worst is the worst"
-WORST_IS_LEAST = ("_min", "_min_over_mean")  # suffixes of measures whose worst value is the least one
+WORST_IS_MIN = ("_min", "_min_over_mean")  # suffixes of measures whose worst value is the smallest one
 TABLE_ROWS = (
     "blind.sharers_max_over_mean",
     "blind.sharers_min_over_mean",
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """The options of the command; ``names`` are those of the schemes, or empty for all."""
+    """The options of the command; ``names`` holds the names of the chosen schemes and is empty for all."""
 
     routers: tuple[int, ...]
     engines: tuple[int, ...]
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """The size of the simulated fleets, one for each seed."""
+    """The size of the simulated fleets; ``seeds`` is the number of fleets of this size."""
 
     routers: int
     engines: int
@@ -97,10 +97,10 @@
 
 
 class SubsetsCommand(OneLineErrorCommand):
-    """Checks that the options fit each other, too."""
+    """A command that also checks that its options are consistent with each other."""
 
     def check_arguments(self, ctx: click.Context) -> None:
-        """Raises ``click.UsageError`` for lists of unequal lengths, or too few engines for the zones."""
+        """Raises ``click.UsageError`` for lists of unequal lengths and for too few engines for the zones."""
         options = Options(**ctx.params)
         if len(options.routers) != len(options.engines):
             raise click.UsageError("--routers and --engines must list as many sizes")
@@ -142,7 +142,7 @@
 
 
 def simulate(schemes: list[Scheme], size: FleetSize) -> Point:
-    """All measures of some schemes at one size: the mean over seeds, and the worst."""
+    """Measures the schemes at one fleet size: the mean and the worst value over the seeds of each measure."""
     values: Values = {}
     for scheme in schemes:
         click.echo(f"{size.routers} routers, {size.engines} engines: {scheme.name}", err=True)
@@ -162,14 +162,14 @@
     values: Values = {}
     for name in runs[0]:
         of_seeds = [run[name] for run in runs]
-        worst = min(of_seeds) if name.endswith(WORST_IS_LEAST) else max(of_seeds)
+        worst = min(of_seeds) if name.endswith(WORST_IS_MIN) else max(of_seeds)
         values[f"{scheme.name}.{name}"] = _rounded(float(np.mean(of_seeds)))
         values[f"{scheme.name}.{name}.worst"] = _rounded(worst)
     return values
 
 
 def table(point: Point, schemes: list[Scheme]) -> str:
-    """The chief measures as text, with a column for each scheme."""
+    """Formats the main measures as a text table with a column for each scheme."""
     sizes = ", ".join(f"{name} {value:g}" for name, value in point.sizes.items())
     lines = [sizes, f"{'mean over seeds':36}" + "".join(f"{scheme.name:>12}" for scheme in schemes)]
     for name in TABLE_ROWS:
--- a/grebeproxy/lab/subsets/cost.py
+++ b/grebeproxy/lab/subsets/cost.py
@@ -1,4 +1,4 @@
-"""CPU of one router's subset in plain Python: from scratch, after a change, and to count sharers."""
+"""CPU time of one router in plain Python: to compute its subset, to update it, and to count sharers."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 HASH_MULTIPLIER = 2654435761  # spreads consecutive numbers over 32 bits (multiplicative hashing)
 HASH_MODULUS = 2**32
-REPEATS = 7
-SUBSETS_PER_RUN = 1  # of each repetition, by what is timed
-CHANGES_PER_RUN = 5
-SHARERS_PER_RUN = 20
-CHANGES_OF_ONE_CALL = 2  # an engine is removed and added again
+TIMED_RUNS = 7
+SUBSETS_PER_RUN = 1  # calls in each timed run
+CHANGES_PER_RUN = 5  # calls in each timed run
+SHARERS_PER_RUN = 20  # calls in each timed run
+CHANGES_PER_CALL = 2  # each call removes an engine and adds it again
 NANOSECONDS_PER_MICROSECOND = 1000.0
 
 
 def cost(name: str, routers: int, engines: int, size: int) -> dict[str, float]:
-    """Microseconds of CPU for one router's subset, for one change, and for the sharers of its engines."""
+    """CPU microseconds to compute one router's subset, to apply one change, and to count sharers."""
     build = BUILDERS[name]
     names = [f"s-{number * HASH_MULTIPLIER % HASH_MODULUS:08x}" for number in range(engines)]
     router = routers // 2
@@ -37,7 +37,7 @@
 
     values = {
         "cpu_us.scratch": _cpu_us(from_scratch, SUBSETS_PER_RUN),
-        "cpu_us.one_change": _cpu_us(change, CHANGES_PER_RUN) / CHANGES_OF_ONE_CALL,
+        "cpu_us.one_change": _cpu_us(change, CHANGES_PER_RUN) / CHANGES_PER_CALL,
     }
     if type(state) is CircleRouter:
         values["cpu_us.sharers"] = _sharers_cpu_us(state)
@@ -49,9 +49,9 @@
 
 
 def _cpu_us(call: Callable[[], object], times: int) -> float:
-    """The median CPU of a call over several runs, each of which repeats it."""
+    """The median CPU microseconds of a call over ``TIMED_RUNS`` runs, each of which makes ``times`` calls."""
     microseconds = []
-    for _ in range(REPEATS):
+    for _ in range(TIMED_RUNS):
         before = time.process_time_ns()
         for _ in range(times):
             call()
--- a/grebeproxy/lab/subsets/fleet.py
+++ b/grebeproxy/lab/subsets/fleet.py
@@ -1,4 +1,4 @@
-"""The simulated fleet: engines with random identities, routers with numbers, and the zones of both."""
+"""The simulated fleet: engines with random identities, numbered routers, and the zones of both."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 Floats = NDArray[np.float64]
 Mask = NDArray[np.bool_]
 
-MIN_SUBSET_SIZE = 16  # engines, as in ``grebeproxy/policy/subset.py``
-ENGINES_PER_ROUTER_FACTOR = 3.0  # a subset is at least this multiple of the engines per router, as there
-MAX_RELATIVE_TRAFFIC = 8.0  # the multiple of the mean traffic up to which a router widens its subset
+MIN_SUBSET_SIZE = 16  # engines; equal to the minimum in ``grebeproxy/policy/subset.py``
+ENGINES_PER_ROUTER_FACTOR = 3.0  # minimum ratio of subset size to engines per router, as in the policy
+MAX_RELATIVE_TRAFFIC = 8.0  # a router widens its subset up to this multiple of the mean traffic
 RACK_SIZE = 40  # engines
-SCALING_FRACTION = 0.1  # of the routers, which are added or removed at once
+SCALING_FRACTION = 0.1  # fraction of the routers that is added or removed at once
 GOLDEN_RATIO = 0.6180339887498949
 
 
 @dataclass(frozen=True, slots=True)
 class Engines:
-    """Engines by their number in the simulation; ``key`` is the hash of an engine's id."""
+    """Parallel arrays with an entry for each engine; ``key`` holds the hashes of the engines' ids."""
 
     number: Integers
     key: Keys
     zone: Integers
 
     def __len__(self) -> int:
-        """How many there are."""
+        """The number of engines."""
         return len(self.number)
 
     def where(self, mask: Mask) -> Engines:
@@ -39,7 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Routers:
-    """Routers by number; each believes that it is at ``index`` of ``count`` in the order of numbers."""
+    """Parallel arrays with an entry for each router.
+
+    Each router assumes that it stands at ``index`` among ``count`` routers in the order of numbers.
+    """
 
     number: Integers
     zone: Integers
@@ -47,15 +50,15 @@
     count: Integers
 
     def __len__(self) -> int:
-        """How many there are."""
+        """The number of routers."""
         return len(self.number)
 
     def where(self, mask: Mask) -> Routers:
-        """The routers for which the mask holds, with their index among all."""
+        """The routers for which the mask holds, each with its index among all routers."""
         return Routers(self.number[mask], self.zone[mask], self.index[mask], self.count[mask])
 
     def of_zone(self, zone: int) -> Routers:
-        """The routers of a zone, with their index among just these, as if each knew the zones of all."""
+        """The routers of a zone, indexed within the zone, as if each router knew the zones of all routers."""
         routers = self.where(self.zone == zone)
         fraction = len(routers) / max(1, len(self))
         count = np.maximum(len(routers), np.rint(routers.count * fraction).astype(np.int64))
@@ -64,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """All engines and routers of one moment; ``universe`` is the number of engines that ever existed."""
+    """The engines and routers at one time; ``universe`` is the number of engines that ever existed."""
 
     engines: Engines
     routers: Routers
@@ -72,11 +75,11 @@
     universe: int
 
     def without(self, lost: Mask) -> Fleet:
-        """The fleet without some engines, given by a mask over its engines."""
+        """The fleet without the engines for which the mask holds."""
         return replace(self, engines=self.engines.where(~lost))
 
     def subset_sizes(self, relative_traffic: Floats | None = None) -> Integers:
-        """Engines in each router's subset, for routers with multiples of the mean traffic (default 1)."""
+        """The subset sizes of routers; ``relative_traffic`` is their traffic over the mean (1 by default)."""
         engines_per_router = len(self.engines) / len(self.routers)
         base = max(MIN_SUBSET_SIZE, round(ENGINES_PER_ROUTER_FACTOR * engines_per_router))
         if relative_traffic is None:
@@ -86,12 +89,12 @@
         return np.minimum(np.rint(base * factors).astype(np.int64), len(self.engines))
 
     def base_subset_size(self) -> int:
-        """Engines in the subset of a router with mean traffic."""
+        """The subset size of a router with mean traffic."""
         return int(self.subset_sizes().max())
 
 
 def make_fleet(routers: int, engines: int, zones: int, rng: np.random.Generator) -> Fleet:
-    """Engines with random identities, assigned to the zones at random in equal numbers, and routers alike."""
+    """Makes engines with random identities, and routers; both are spread over the zones evenly."""
     keys = rng.integers(0, 2**64, engines, dtype=np.uint64)
     engine_zones = rng.permutation(np.arange(engines, dtype=np.int64) % zones)
     numbers = np.arange(routers, dtype=np.int64)
@@ -106,19 +109,19 @@
 
 
 def with_routers(fleet: Fleet, count: int) -> Fleet:
-    """The fleet with the first ``count`` of its routers, all of which know that count."""
+    """The fleet with only its first ``count`` routers, all of which know that count."""
     routers = fleet.routers.where(fleet.routers.number < count)
     return replace(fleet, routers=replace(routers, count=np.full(len(routers), count, dtype=np.int64)))
 
 
 def _zones_in_blocks(routers: int, zones: int, rng: np.random.Generator) -> Integers:
-    """Each block of consecutive numbers, as many as there are zones, has one router of each zone."""
+    """Zones of routers such that each block of ``zones`` consecutive routers has one router of each zone."""
     blocks = [rng.permutation(zones) for _ in range(-(-routers // zones))]
     return np.concatenate(blocks)[:routers].astype(np.int64)
 
 
 def mix(values: Keys) -> Keys:
-    """A hash of 64-bit values: the finalizer of splitmix64, in place of the product's blake2b."""
+    """Hashes 64-bit values by the finalizer of splitmix64, which stands in for the product's blake2b."""
     with np.errstate(over="ignore"):
         values = (values ^ (values >> np.uint64(30))) * np.uint64(0xBF58476D1CE4E5B9)
         values = (values ^ (values >> np.uint64(27))) * np.uint64(0x94D049BB133111EB)
@@ -126,10 +129,10 @@
 
 
 def positions(keys: Keys) -> Floats:
-    """Positions of hashes on a circle from 0 to 1."""
+    """Positions of hashes on a circle of circumference 1, from 0 to below 1."""
     return (keys >> np.uint64(11)).astype(np.float64) / float(2**53)
 
 
 def router_positions(numbers: Integers) -> Floats:
-    """Positions of routers on the circle: blocks and strides of numbers are spread evenly."""
+    """Positions of routers on the circle, which spread blocks and strides of router numbers evenly."""
     return (numbers * GOLDEN_RATIO % 1.0).astype(np.float64)
--- a/grebeproxy/lab/subsets/losses.py
+++ b/grebeproxy/lab/subsets/losses.py
@@ -1,4 +1,4 @@
-"""Measures of the loss of engines: what is left of windows, and the load on the engines left."""
+"""Measures after the loss of engines: the usable part of windows, and the load of the remaining engines."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from grebeproxy.lab.subsets.traffic import Values, engine_loads, peak_over_mean, traffic_splits
 from grebeproxy.lab.subsets.windows import NO_ENGINE
 
-WIDENING = 8  # times its own size, within which a subset may be widened until enough engines are usable
+MAX_WIDENING = 8  # a subset without enough usable engines widens up to this multiple of its size
 
 
 class WeightedPairs(NamedTuple):
-    """Pairs, and for each one over the number of routers that share its engine."""
+    """Pairs; the weight of a pair is 1 divided by the number of routers that share its engine."""
 
     pairs: Pairs
     weight: Floats
 
 
 def losses(fleet: Fleet, rng: np.random.Generator) -> dict[str, Mask]:
-    """Engines that are lost at once: one, a rack of one zone, a zone (where there are several)."""
+    """Masks of engines that are lost at once: one engine, a rack of one zone, a zone (if several)."""
     zone = int(rng.integers(fleet.zones))
     in_zone = np.flatnonzero(fleet.engines.zone == zone)
     lost = {"engine": in_zone[:1], "rack": in_zone[: min(RACK_SIZE, len(in_zone) // 2)], "zone": in_zone}
@@ -37,10 +37,13 @@
 
 
 def usable_after_loss(scheme: Scheme, fleet: Fleet, rng: np.random.Generator) -> Values:
-    """Engines usable in a window when some are unreachable but still listed, and how far it must widen."""
+    """Usable engines in a window while lost engines are still listed, and the size that the window needs.
+
+    ``widest`` is the largest window that a router needs to have half of its subset size in usable engines.
+    """
     result: Values = {}
     sizes = fleet.subset_sizes()
-    rows = scheme.windows(fleet.engines, fleet.routers, np.minimum(sizes * WIDENING, len(fleet.engines)))
+    rows = scheme.windows(fleet.engines, fleet.routers, np.minimum(sizes * MAX_WIDENING, len(fleet.engines)))
     for name, mask in losses(fleet, rng).items():
         if name == "engine":
             continue
@@ -59,11 +62,12 @@
 
 
 def loads_after_zone_loss(scheme: Scheme, fleet: Fleet, rng: np.random.Generator) -> Values:
-    """Load of the most loaded engine, over the mean of those left, right after a zone's engines are lost.
+    """Load of the most loaded engine over the mean of the remaining engines, right after the loss of a zone.
 
-    Routers use the window of their own zone; those of the lost zone use what is left of their window over all
-    engines, or are lost as well (``without_routers``). ``listed``: the lost engines are still on the list,
-    and windows hold what is left of them; ``gone``: the list lacks them.
+    Routers use the window of their own zone. Routers of the lost zone use the remaining engines of their
+    window over all engines, or are lost with the zone (``without_routers``). With ``listed``, the lost
+    engines are still on the engine list, so that windows that hold them have fewer usable engines. With
+    ``gone``, the lost engines are no longer on the list.
     """
     if fleet.zones == 1:
         return {}
@@ -86,7 +90,7 @@
 
 
 def _pairs_without_zone(scheme: Scheme, fleet: Fleet, zone: int) -> WeightedPairs:
-    """The pairs in use while a zone's engines are unusable."""
+    """The pairs that routers use while the engines of a zone are unusable."""
     windows = all_windows(scheme, fleet, fleet.subset_sizes())
     in_lost_zone = fleet.routers.zone == zone
     fleet_sharers = Pairs.of(fleet, windows.fleet).sharers()
--- a/grebeproxy/lab/subsets/measures.py
+++ b/grebeproxy/lab/subsets/measures.py
@@ -14,7 +14,7 @@
 
 
 def measure(scheme: Scheme, fleet: Fleet, seed: int) -> Values:
-    """All measures of a scheme on one fleet; losses and traffic are the same for equal seeds."""
+    """Takes all measures of a scheme on one fleet; equal seeds give the same losses and traffic."""
     values = sharer_counts(scheme, fleet)
     for part in (connections, loads, movement, usable_after_loss, loads_after_zone_loss):
         values |= part(scheme, fleet, np.random.default_rng([seed, 1]))
--- a/grebeproxy/lab/subsets/movement.py
+++ b/grebeproxy/lab/subsets/movement.py
@@ -1,4 +1,4 @@
-"""Measures of movement: pairs that change when engines or routers come or go."""
+"""Measures of movement: pairs that change when engines or routers are added or removed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def movement(scheme: Scheme, fleet: Fleet, rng: np.random.Generator) -> Values:
-    """Pairs that change, over all pairs and over the least possible, for each change of the fleet."""
+    """Changed pairs over all pairs, and over the least possible number, for each change of the fleet."""
     result: Values = {}
     before = subset_pairs(scheme, fleet)
     for name, mask in losses(fleet, rng).items():
@@ -28,7 +28,7 @@
     routers = len(fleet.routers)
     for name, count in (("one_router", routers - 1), ("tenth", count_after_scaling(fleet))):
         after = subset_pairs(scheme, with_routers(fleet, count))
-        remaining = before.where(before.router < count)  # of routers that need not change at all
+        remaining = before.where(before.router < count)  # none of these pairs has to change
         result[f"moved.{name}"] = changed_fraction(remaining, after)
     result["moved.counts_differ"] = _changed_while_counts_differ(scheme, fleet)
     return result
@@ -41,7 +41,7 @@
 
 
 def _changed_while_counts_differ(scheme: Scheme, fleet: Fleet) -> float:
-    """Pairs that differ from those by the true count, where every second router uses a smaller, old count."""
+    """The fraction of pairs that change while every second router uses an old, smaller router count."""
     old_count = count_after_scaling(fleet)
     is_stale = (fleet.routers.number % 2 == 0) & (fleet.routers.number < old_count)
     stale = replace(fleet.routers, count=np.where(is_stale, old_count, len(fleet.routers)))
--- a/grebeproxy/lab/subsets/pairs.py
+++ b/grebeproxy/lab/subsets/pairs.py
@@ -1,4 +1,4 @@
-"""Pairs of a router and an engine that it may use, from the windows of a scheme."""
+"""Pairs of a router and an engine that the router may use, from the windows of a scheme."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class Windows(NamedTuple):
-    """Windows over all engines, and over those of each router's zone (empty with one zone)."""
+    """Windows over all engines, and windows over the engines of each router's zone (empty with one zone)."""
 
     fleet: Integers
     zone: Integers
 
 
 def all_windows(scheme: Scheme, fleet: Fleet, sizes: Integers) -> Windows:
-    """Both kinds of windows, as routers use them."""
+    """The windows of each router over all engines and over the engines of its zone."""
     of_fleet = scheme.windows(fleet.engines, fleet.routers, sizes)
     of_zone = zone_windows(scheme, fleet, sizes) if fleet.zones > 1 else of_fleet[:, :0]
     return Windows(of_fleet, of_zone)
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pairs:
-    """Which router may use which engine, flat: ``router[i]`` has ``engine[i]``."""
+    """The engines that routers may use, as parallel arrays: ``router[i]`` may use ``engine[i]``."""
 
     router: Integers
     engine: Integers
@@ -49,7 +49,7 @@
 
     @classmethod
     def of(cls, fleet: Fleet, *windows: Integers) -> Pairs:
-        """The pairs of one or more windows, each once."""
+        """The distinct pairs of one or more arrays of windows."""
         codes = [
             (fleet.routers.number[:, None] * fleet.universe + rows)[rows != NO_ENGINE]
             for rows in windows
@@ -59,7 +59,7 @@
         return cls(distinct // fleet.universe, distinct % fleet.universe, fleet.universe)
 
     def codes(self) -> Integers:
-        """One sorted number for each pair."""
+        """A unique number for each pair, in ascending order."""
         return self.router * self.universe + self.engine
 
     def where(self, mask: Mask) -> Pairs:
@@ -67,29 +67,29 @@
         return Pairs(self.router[mask], self.engine[mask], self.universe)
 
     def sharers(self) -> Integers:
-        """Routers by engine."""
+        """The number of routers that share each engine."""
         return np.bincount(self.engine, minlength=self.universe)
 
 
 def subset_pairs(scheme: Scheme, fleet: Fleet, relative_traffic: Floats | None = None) -> Pairs:
-    """The pairs of the windows over all engines and over those of the zone."""
+    """The pairs of the windows over all engines and of those over the engines of the router's zone."""
     return Pairs.of(fleet, *all_windows(scheme, fleet, fleet.subset_sizes(relative_traffic)))
 
 
 def zone_pairs(scheme: Scheme, fleet: Fleet, relative_traffic: Floats | None = None) -> Pairs:
-    """The pairs of the windows over the engines of the zone alone."""
+    """The pairs of only the windows over the engines of the router's zone."""
     if fleet.zones == 1:
         return fleet_pairs(scheme, fleet, relative_traffic)
     return Pairs.of(fleet, zone_windows(scheme, fleet, fleet.subset_sizes(relative_traffic)))
 
 
 def fleet_pairs(scheme: Scheme, fleet: Fleet, relative_traffic: Floats | None = None) -> Pairs:
-    """The pairs of the windows over all engines alone."""
+    """The pairs of only the windows over all engines."""
     sizes = fleet.subset_sizes(relative_traffic)
     return Pairs.of(fleet, scheme.windows(fleet.engines, fleet.routers, sizes))
 
 
 def changed_fraction(before: Pairs, after: Pairs) -> float:
-    """Pairs that are in only one of the two, over those before."""
+    """The number of pairs that were added or removed, over the number of pairs before."""
     changed = np.setxor1d(before.codes(), after.codes(), assume_unique=True)
     return float(len(changed) / len(before.router))
--- a/grebeproxy/lab/subsets/router_subsets.py
+++ b/grebeproxy/lab/subsets/router_subsets.py
@@ -1,4 +1,4 @@
-"""One router's subset in plain Python, as a product without numpy would compute it.
+"""Computes one router's subset in plain Python, as the product would without numpy.
 
 Each scheme has a class that builds a router's state from the full list, applies added and removed engines,
 and computes the subset.
@@ -18,18 +18,19 @@
 FULL_CIRCLE = 2**64
 HASH_BYTES = 8
 
-# Position or score of an engine, and its name: a plain tuple, since building it is part of the measured CPU.
+# The position or score of an engine, and its name. It is a plain tuple, since the measured CPU time includes
+# the time to build it.
 Point = tuple[int, str]
 
 
 class RouterSubset(Protocol):
-    """One router's subset."""
+    """The state from which one router computes its subset."""
 
     def add(self, engine: str) -> None:
-        """An engine was added to the list."""
+        """Adds an engine that was added to the list."""
 
     def remove(self, engine: str) -> None:
-        """An engine was removed from the list."""
+        """Removes an engine that was removed from the list."""
 
     def subset(self) -> list[str]:
         """The engines that the router uses, in a fixed order."""
@@ -59,15 +60,15 @@
         return _hashes(f"{self.router}/{engine}")[0], engine
 
     def add(self, engine: str) -> None:
-        """See ``RouterSubset``."""
+        """Adds an engine that was added to the list."""
         insort(self.scores, self._score(engine))
 
     def remove(self, engine: str) -> None:
-        """See ``RouterSubset``."""
+        """Removes an engine that was removed from the list."""
         del self.scores[bisect_left(self.scores, self._score(engine))]
 
     def subset(self) -> list[str]:
-        """See ``RouterSubset``."""
+        """The engines that the router uses, in a fixed order."""
         return [engine for _, engine in nlargest(self.size, self.scores[-self.size :])]
 
 
@@ -85,24 +86,27 @@
         return [(position, engine) for position in _hashes(engine, self.points)]
 
     def add(self, engine: str) -> None:
-        """See ``RouterSubset``."""
+        """Adds an engine that was added to the list."""
         for point in self._points_of(engine):
             insort(self.circle, point)
 
     def remove(self, engine: str) -> None:
-        """See ``RouterSubset``."""
+        """Removes an engine that was removed from the list."""
         for point in self._points_of(engine):
             del self.circle[bisect_left(self.circle, point)]
 
     def subset(self) -> list[str]:
-        """See ``RouterSubset``."""
+        """The engines that the router uses, in a fixed order."""
         start = bisect_left(self.circle, (_position(self.router), ""))
         points = len(self.circle)
         window = range(start, start + self.size)
         return list(dict.fromkeys(self.circle[index % points][1] for index in window))
 
     def sharers(self, engine: str) -> int:
-        """How many routers share an engine; one that has it by two points counts twice."""
+        """The number of routers that share an engine.
+
+        A router whose window has two points of the engine counts twice.
+        """
         return sum(self._routers_of(point) for point in self._points_of(engine))
 
     def _routers_of(self, point: Point) -> int:
@@ -120,14 +124,14 @@
         self.routers = routers
 
     def subset(self) -> list[str]:
-        """See ``RouterSubset``."""
+        """The engines that the router uses, in a fixed order."""
         start = self.router * len(self.circle) // self.routers
         points = len(self.circle)
         return [self.circle[index % points][1] for index in range(start, start + self.size)]
 
 
 class RoundsRouter:
-    """Stores the order of its round; where the count of slices changes, it is built anew."""
+    """Stores the order of engines in the router's round; a change of the number of slices rebuilds it."""
 
     def __init__(self, engines: list[str], router: int, routers: int, size: int) -> None:
         self.router = router
@@ -143,7 +147,7 @@
         return _hashes(f"{self.router // self.slices}/{engine}")[0], engine
 
     def add(self, engine: str) -> None:
-        """See ``RouterSubset``."""
+        """Adds an engine that was added to the list."""
         self.engines[engine] = None
         if len(self.engines) // self.size != self.slices:
             self._build()
@@ -151,7 +155,7 @@
             insort(self.order, self._point(engine))
 
     def remove(self, engine: str) -> None:
-        """See ``RouterSubset``."""
+        """Removes an engine that was removed from the list."""
         del self.engines[engine]
         if len(self.engines) // self.size != self.slices:
             self._build()
@@ -159,7 +163,7 @@
             del self.order[bisect_left(self.order, self._point(engine))]
 
     def subset(self) -> list[str]:
-        """See ``RouterSubset``."""
+        """The engines that the router uses, in a fixed order."""
         start = self.router % self.slices * len(self.order) // self.slices
         return [engine for _, engine in self.order[start : start + self.size]]
 
@@ -172,7 +176,7 @@
         self.routers = routers
 
     def subset(self) -> list[str]:
-        """See ``RouterSubset``."""
+        """The engines that the router uses, in a fixed order."""
         engines = len(self.circle)
         max_routers = -int(-LOAD_BOUND * self.routers * self.size // engines)
         assigned = [0] * engines
@@ -189,7 +193,7 @@
         return [self.circle[index][1] for index in chosen]
 
 
-Builder = Callable[[list[str], int, int, int], RouterSubset]  # of engines, router, count of routers, size
+Builder = Callable[[list[str], int, int, int], RouterSubset]  # engines, router, count of routers, size
 
 
 def _circle_of(points: int) -> Builder:
--- a/grebeproxy/lab/subsets/schemes.py
+++ b/grebeproxy/lab/subsets/schemes.py
@@ -1,7 +1,7 @@
-"""Ways to choose each router's subset from the list of engines, its number and the count of routers.
+"""Schemes that choose a router's subset from the engine list, the router's number and the count of routers.
 
-Every scheme returns windows: for each router a row of engine numbers in a fixed order, filled up with
-``NO_ENGINE`` where the row is shorter than the longest.
+Every scheme returns windows: a row of engine numbers for each router, in a fixed order. Rows that are shorter
+than the longest are padded with ``NO_ENGINE``.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 )
 from grebeproxy.lab.subsets.windows import NO_ENGINE, salted, window_rows, without_gaps, without_repeats
 
-LOAD_BOUND = 1.25  # bounded-load hashing assigns an engine at most this multiple of the mean of routers
+LOAD_BOUND = 1.25  # an engine's maximum number of routers over the mean, in bounded-load hashing
 
 
 class Scheme(Protocol):
-    """One way to choose subsets."""
+    """A scheme that chooses the subsets of all routers."""
 
     @property
     def name(self) -> str:
@@ -36,15 +36,15 @@
         """Whether a router can compute, for any subset size, how many routers share an engine."""
 
     def windows(self, engines: Engines, routers: Routers, sizes: Integers) -> Integers:
-        """A row of engines for each router; ``sizes`` are the wanted sizes of the routers' subsets."""
+        """The window of each router; ``sizes`` are the intended sizes of the routers' subsets."""
 
 
 @dataclass(frozen=True, slots=True)
 class Sharers:
-    """Who shares engines, flat: ``router[i]`` is the ``rank[i]``-th of those that share ``engine[i]``.
+    """Sharers of engines as parallel arrays: ``router[i]`` has ``rank[i]`` among those of ``engine[i]``.
 
-    ``engine`` holds indices of the given list of engines; ``count`` is the number of sharers by that index. A
-    router that reaches an engine by two of its points counts twice and has the first of the two ranks.
+    ``engine`` holds indices into the given engines; ``count`` is the number of sharers by that index. A
+    router whose window has two points of an engine counts twice and has the lower of its two ranks.
     """
 
     engine: Integers
@@ -53,13 +53,13 @@
     count: Integers
 
     def with_lowest_ranks(self) -> Sharers:
-        """Each router once for an engine, with its lowest rank."""
+        """The sharers with each router listed once for an engine, with its lowest rank."""
         routers = int(self.router.max(initial=0)) + 1
         _, first = np.unique(self.engine * routers + self.router, return_index=True)
         return Sharers(self.engine[first], self.router[first], self.rank[first], self.count)
 
     def parts(self, total: int, rotation: int) -> Integers:
-        """Parts of an engine's budget of ``total`` parts by sharer; ``rotation`` shifts the ranks."""
+        """Each sharer's number of ``total`` parts of an engine's budget; ``rotation`` shifts the ranks."""
         count = self.count[self.engine]
         return (total + (self.rank + rotation) % count) // count
 
@@ -72,7 +72,7 @@
     counts_sharers: bool = False
 
     def windows(self, engines: Engines, routers: Routers, sizes: Integers) -> Integers:
-        """See ``Scheme``."""
+        """The window of each router; ``sizes`` are the intended sizes of the routers' subsets."""
         widest = int(sizes.max(initial=0))
         rows = np.empty((len(routers), widest), dtype=np.int64)
         for row, number in enumerate(routers.number):
@@ -84,19 +84,22 @@
 
 @dataclass(frozen=True)
 class BoundedLoad:
-    """Consistent hashing with bounded load: by number, routers take the next engines below the bound."""
+    """Consistent hashing with bounded loads.
+
+    In the order of their numbers, routers take the next engines on the circle that are below the bound.
+    """
 
     name: str = "bounded"
     counts_sharers: bool = False
 
     def windows(self, engines: Engines, routers: Routers, sizes: Integers) -> Integers:
-        """See ``Scheme``."""
+        """The window of each router; ``sizes`` are the intended sizes of the routers' subsets."""
         points = positions(engines.key)
         order = np.argsort(points)
         max_routers = int(np.ceil(LOAD_BOUND * sizes.sum() / len(engines)))
         starts = np.searchsorted(points[order], router_positions(routers.number)).tolist()
         size = len(order)
-        assigned = [0] * size  # routers of each engine, in ring order
+        assigned = [0] * size  # number of routers by engine, in the order of the circle
         rows = np.full((len(routers), int(sizes.max(initial=0))), NO_ENGINE, dtype=np.int64)
         for row, (start, wanted) in enumerate(zip(starts, sizes.tolist(), strict=True)):
             chosen: list[int] = []
@@ -113,14 +116,17 @@
 
 @dataclass(frozen=True)
 class Rounds:
-    """Deterministic rounds: as many routers as there are slices take one each of a shuffled order."""
+    """Deterministic subsetting in rounds.
+
+    Each round shuffles the engines and cuts them into slices; each router of the round takes one slice.
+    """
 
     name: str = "rounds"
     counts_sharers: bool = False
-    power_of_two: bool = False  # round the number of slices up, so that it seldom changes
+    power_of_two: bool = False  # rounds the number of slices up, so that it seldom changes
 
     def windows(self, engines: Engines, routers: Routers, sizes: Integers) -> Integers:
-        """See ``Scheme``."""
+        """The window of each router; ``sizes`` are the intended sizes of the routers' subsets."""
         slices = max(1, len(engines) // int(sizes.min()))
         if self.power_of_two:
             slices = 1 << (slices - 1).bit_length()
@@ -136,9 +142,9 @@
 
 @dataclass(frozen=True)
 class RankWindows:
-    """Engines in the order of their hash; the window of router i of n starts at i/n of the list.
+    """Engines are in the order of their hashes; the window of router i of n starts at i/n of the list.
 
-    With ``golden`` it starts at the fractional part of i times the golden ratio, for any count of routers.
+    With ``golden``, the window starts at the fractional part of i times the golden ratio, whatever n is.
     """
 
     name: str = "rank"
@@ -146,7 +152,7 @@
     counts_sharers: bool = True
 
     def windows(self, engines: Engines, routers: Routers, sizes: Integers) -> Integers:
-        """See ``Scheme``."""
+        """The window of each router; ``sizes`` are the intended sizes of the routers' subsets."""
         order = engines.number[np.argsort(engines.key)]
         if self.golden:
             starts = (router_positions(routers.number) * len(engines)).astype(np.int64)
@@ -164,9 +170,10 @@
 
 @dataclass(frozen=True)
 class PointCircle:
-    """Engines are points on a circle by hash, routers by number; a router takes the points after its own.
+    """Consistent hashing: a router takes the engines whose points follow its own point on a circle.
 
-    An engine may have several points; where it occurs twice in a window, the window has fewer engines.
+    An engine's points follow from its hash, a router's point from its number. An engine may have several
+    points; a window that has two points of one engine has fewer engines.
     """
 
     name: str = "circle"
@@ -174,7 +181,7 @@
     counts_sharers: bool = True
 
     def windows(self, engines: Engines, routers: Routers, sizes: Integers) -> Integers:
-        """See ``Scheme``."""
+        """The window of each router; ``sizes`` are the intended sizes of the routers' subsets."""
         points, owners = self.circle(engines)
         starts = np.searchsorted(points, router_positions(routers.number))
         width = np.where(sizes >= len(engines), len(points), sizes)
@@ -185,19 +192,20 @@
         return rows if rows.shape[1] == sizes.max(initial=0) else without_gaps(rows)[:, : int(sizes.max())]
 
     def circle(self, engines: Engines) -> Circle:
-        """The points in order, and the index of each point's engine."""
+        """Places the points of all engines on the circle."""
         points = np.concatenate([positions(salted(engines.key, point)) for point in range(self.points)])
         owners = np.tile(np.arange(len(engines)), self.points)
         order = np.argsort(points)
         return Circle(points[order], owners[order])
 
     def sharers(self, engines: Engines, routers: Routers, size: int) -> Sharers:
-        """Who shares each engine, from the list, the routers' numbers and a subset size that all have.
+        """The sharers of each engine where all subsets have one size, from the list and the routers' numbers.
 
-        The routers of a point are those located after its ``size``-th predecessor and not after the point.
+        The routers that share a point lie after the ``size``-th predecessor of the point and not after the
+        point itself.
         """
         if size >= len(engines) and self.points > 1:
-            # All routers have all engines, so one point of each is enough.
+            # All routers have all engines, so one point of each engine is enough.
             return replace(self, points=1).sharers(engines, routers, size)
         points, owners = self.circle(engines)
         located = router_positions(routers.number)
--- a/grebeproxy/lab/subsets/traffic.py
+++ b/grebeproxy/lab/subsets/traffic.py
@@ -1,4 +1,4 @@
-"""Traffic of routers, how a router splits its own over its engines, and the load that results."""
+"""Traffic of routers, how each router splits its traffic over its engines, and the resulting loads."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from grebeproxy.lab.subsets.pairs import Pairs
 
 LOGNORMAL_SIGMA = 1.0
-HEAVY_FRACTION = 0.05  # of the routers
-HEAVY_FACTOR = 5.0  # times the mean traffic
-FEW_ROUNDS = 5  # of rebalancing
-MANY_ROUNDS = 50
-REBALANCE_EXPONENT = 0.5  # exponent by which a round reacts to an engine's load
-MIN_LOAD = 1e-9  # stands for no load where a load is divided by
+HEAVY_FRACTION = 0.05  # fraction of the routers that are heavy
+HEAVY_FACTOR = 5.0  # traffic of a heavy router over that of another
+FEW_ROUNDS = 5  # rounds of rebalancing
+MANY_ROUNDS = 50  # rounds of rebalancing
+REBALANCE_EXPONENT = 0.5  # exponent of the factor by which a round corrects an engine's load
+MIN_LOAD = 1e-9  # lower limit of a load that is used as a divisor
 
 Values = dict[str, float]
 
 
 def traffic_patterns(routers: int, rng: np.random.Generator) -> dict[str, Floats]:
-    """For each pattern the traffic of each router, over the mean."""
+    """The traffic of each router over the mean, by traffic pattern."""
     lognormal = rng.lognormal(0.0, LOGNORMAL_SIGMA, routers)
     heavy = np.ones(routers)
     heavy[rng.permutation(routers)[: round(HEAVY_FRACTION * routers)]] = HEAVY_FACTOR
@@ -31,19 +31,19 @@
 
 
 def split_traffic(pairs: Pairs, weight: Floats, traffic: Floats) -> Floats:
-    """Traffic of each pair, where a router splits its own by the weights of its pairs."""
+    """The traffic of each pair, where a router splits its traffic by the weights of its pairs."""
     total = np.bincount(pairs.router, weights=weight, minlength=len(traffic))
     result: Floats = traffic[pairs.router] * weight / total[pairs.router]
     return result
 
 
 def engine_loads(pairs: Pairs, pair_traffic: Floats) -> Floats:
-    """Traffic of each engine."""
+    """The traffic of each engine."""
     return np.bincount(pairs.engine, weights=pair_traffic, minlength=pairs.universe).astype(np.float64)
 
 
 def rebalanced(pairs: Pairs, pair_traffic: Floats, traffic: Floats, rounds: int) -> Floats:
-    """Traffic of each pair after rounds in which each router moves some to its less loaded engines."""
+    """The traffic of each pair after rounds in which routers move traffic to their less loaded engines."""
     for _ in range(rounds):
         load = engine_loads(pairs, pair_traffic)
         relative = load.mean() / np.maximum(load[pairs.engine], MIN_LOAD)
@@ -54,7 +54,10 @@
 
 
 def traffic_splits(pairs: Pairs, weights: dict[str, Floats], traffic: Floats) -> dict[str, Floats]:
-    """Traffic of each pair: split evenly, by each of the weights, and after rebalancing the best of these."""
+    """The traffic of each pair by way of splitting: evenly, by each of the weights, and after rebalancing.
+
+    Rebalancing starts from the split by ``weighted``, or from the even split where there is no such weight.
+    """
     splits = {"even": split_traffic(pairs, np.ones(len(pairs.router)), traffic)}
     splits |= {kind: split_traffic(pairs, weight, traffic) for kind, weight in weights.items()}
     first = splits.get("weighted", splits["even"])
--- a/grebeproxy/lab/subsets/warm_up.py
+++ b/grebeproxy/lab/subsets/warm_up.py
@@ -1,4 +1,4 @@
-"""Measures of the budget of an engine that warms up: what its sharers have of it together."""
+"""Measures of a warming engine's budget: the sum of the parts that its sharers take, over the budget."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 from grebeproxy.lab.subsets.traffic import Values, engine_loads, traffic_patterns
 
 BUDGET_PARTS = (1, 3, 7, 20, 60)  # numbers of parts into which a slot's budget is divided
-ROTATIONS = 4  # random rotations of the ranks that are tried for each of these
+ROTATIONS = 4  # random rotations of the ranks for each number of parts
 ROTATION_VALUES = 1 << 32
 
 
 def warm_up_budget(scheme: PointCircle, fleet: Fleet, rng: np.random.Generator) -> Values:
-    """What the sharers of an engine have of its warm-up budget together, over the budget; 1 is intended.
+    """The sum of the parts of an engine's warm-up budget that its sharers take, over the budget (ideally 1).
 
-    ``base``: divided by the base subset size alone, in the worst slot of those tried. ``own``: each router
-    counts sharers by its own subset size. ``counts``: routers use different counts of routers. ``zone``:
-    divided over the zone's circle among all that have the engine in a window, each counting routers of all
-    zones.
+    - ``base``: all routers count sharers by the base subset size; the worst is over the slots tried.
+    - ``own``: each router counts sharers by its own subset size.
+    - ``counts``: routers use different counts of routers.
+    - ``zone``: the budget is divided over the zone's circle among all routers that have the engine in a
+      window, and each router counts the routers of all zones.
     """
     size = fleet.base_subset_size()
     sharers = scheme.sharers(fleet.engines, fleet.routers, size)
@@ -49,7 +50,10 @@
 
 
 def warm_up_budget_between_lists(scheme: Scheme, fleet: Fleet, rng: np.random.Generator) -> Values:
-    """The same while every second router still lists engines that are gone; each counts by its own list."""
+    """The sum of the parts of an engine's warm-up budget that its sharers take while engine lists differ.
+
+    Every second router still lists engines that are gone; each router counts sharers by its own list.
+    """
     result: Values = {}
     for name, mask in losses(fleet, rng).items():
         remaining = fleet.without(mask)
@@ -67,7 +71,7 @@
 
 
 def _divided_fraction(sharers: Sharers, total: int, rotation: int) -> Floats:
-    """For each engine the sum of its sharers' parts, over the total."""
+    """For each engine, the sum of its sharers' parts over the total."""
     parts = sharers.parts(total, rotation)
     return np.bincount(sharers.engine, weights=parts, minlength=len(sharers.count)).astype(np.float64) / total
 
@@ -81,7 +85,10 @@
 
 
 def _budget_by_two_counts(scheme: PointCircle, fleet: Fleet, size: int, old_count: int) -> Floats:
-    """Every second of the first ``old_count`` routers still uses that count, all others the true one."""
+    """The budget while routers use two counts.
+
+    Every second of the first ``old_count`` routers uses that count, and all others use the true count.
+    """
     budget = np.zeros(len(fleet.engines))
     for routers, is_stale in ((with_routers(fleet, old_count).routers, True), (fleet.routers, False)):
         sharers = scheme.sharers(fleet.engines, routers, size)
@@ -106,13 +113,13 @@
 
 
 def _fleet_window_codes(scheme: PointCircle, fleet: Fleet, size: int, engines: Mask) -> Integers:
-    """One number for each pair of the windows over all engines whose engine is in the mask."""
+    """A unique number for each pair of the windows over all engines, where the mask holds for the engine."""
     sharers = scheme.sharers(fleet.engines, fleet.routers, size)
     selected = engines[sharers.engine]
     return fleet.engines.number[sharers.engine[selected]] * len(fleet.routers) + sharers.router[selected]
 
 
 def _sum_of_parts(sharers: Sharers, mask: Mask) -> Floats:
-    """For each engine the sum of one over its sharers, over the pairs for which the mask holds."""
+    """For each engine, the sum of 1 / (number of its sharers) over the pairs for which the mask holds."""
     part = np.where(mask, 1.0 / np.maximum(sharers.count[sharers.engine], 1), 0.0)
     return np.bincount(sharers.engine, weights=part, minlength=len(sharers.count)).astype(np.float64)
