--- a/grebeproxy/membership/model.py
+++ b/grebeproxy/membership/model.py
@@ -90,9 +90,8 @@
     """How far a router may rely on its view, from least to most."""
 
     ALONE = "alone"  # no other member is known to run, or this process was paused and has not resumed yet
-    MINORITY = (
-        "minority"  # half of the configured fleet or fewer are alive, or this process has a bad health score
-    )
+    # Half of the configured fleet or fewer are alive, or this process has a bad health score.
+    MINORITY = "minority"
     QUORATE = "quorate"  # more than half of the configured fleet is alive
     SETTLED = "settled"  # quorate, with no member suspected and no change for ``Config.settle``
 
--- a/grebeproxy/policy/engine_tracking.py
+++ b/grebeproxy/policy/engine_tracking.py
@@ -52,9 +52,8 @@
         # Engines that are warming up.
         self.warming_capacity = 0.0  # cores of this router's share of warming engines, scaled by warm-up
         self.warming_fraction = 0.0  # fraction of warming engines in the capacity of all healthy ones
-        self.warming_weights: list[
-            float
-        ] = []  # core-seconds that a query counts on a warming engine, by rank
+        # Core-seconds that a query counts on a warming engine, by rank.
+        self.warming_weights: list[float] = []
         self.warming_unit = 1.0  # core-seconds in one unit of a warming engine's slot
 
     def is_usable(self, engine: EngineRecord) -> bool:
--- a/grebeproxy/policy/query_tracking.py
+++ b/grebeproxy/policy/query_tracking.py
@@ -47,9 +47,8 @@
         self.queues: list[list[QueryRecord]] = []
         self.typical_work: list[float] = []  # core-seconds of a typical query
         self.initial_work: list[float] = []  # core-seconds of a typical query that the settings imply
-        self.class_slowdown: list[
-            float
-        ] = []  # latency over run time, which differs between classes by priority
+        # Latency over run time, which differs between classes by priority.
+        self.class_slowdown: list[float] = []
         self.class_counts: list[int] = []  # number of queries accepted
         self.work_corrections: list[CostCorrection] = []
         self.memory_corrections: list[CostCorrection] = []
