--- a/grebeproxy/lab/scale/member.py
+++ b/grebeproxy/lab/scale/member.py
@@ -40,7 +40,7 @@
         self.changes: dict[str, MemberChange] = {}  # by member
         self._clock = clock
         self._meter = meter
-        self._sealed = PacketCodec(config.key, instance, config.settings_digest)
+        self._codec = PacketCodec(config.key, instance, config.settings_digest)
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._wake_at = 0.0  # on the router's clock
@@ -73,7 +73,7 @@
         self._meter.received(len(data))
         with self._meter:
             try:
-                payload = self._sealed.open(data)
+                payload = self._codec.open(data)
             except WireError:
                 return
             self._carry_out(self.node.step(self._clock.now(), [node.PayloadReceived(payload)]))
@@ -98,7 +98,7 @@
 
     def _send(self, to: Address, payload: object) -> None:
         if self._transport is not None:
-            packet = self._sealed.seal(payload)
+            packet = self._codec.seal(payload)
             self._transport.sendto(packet, to)
             self._meter.sent(len(packet))
 
