--- a/grebeproxy/net/runtime.py
+++ b/grebeproxy/net/runtime.py
@@ -43,7 +43,10 @@
     """Runs one router on an event loop. Tests pass their own ``timers``."""
 
     def __init__(
-        self, config: Config, decide: router.DecisionModuleFactory = Choice, timers: LoopTimers | None = None
+        self,
+        config: Config,
+        make_decision_module: router.DecisionModuleFactory = Choice,
+        timers: LoopTimers | None = None,
     ) -> None:
         self.config = config
         self.timers = timers or LoopTimers()
@@ -76,7 +79,7 @@
             shared=shared,
             known=changelog.known_events(config.known, self.timers.from_unix_ms),
         )
-        self._router = router.Router(options, self.timers.now(), decide)
+        self._router = router.Router(options, self.timers.now(), make_decision_module)
 
     def _override_sync(self) -> OverrideSync | None:
         if not self.config.admin or not self.config.folder:
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -202,11 +202,11 @@
 class Player(Runtime):
     """The runtime with simulated sockets, clock and log."""
 
-    def __init__(self, decide: DecisionModuleFactory, changes: dict[str, Any]) -> None:
+    def __init__(self, make_decision_module: DecisionModuleFactory, changes: dict[str, Any]) -> None:
         self.simulated_timers = SimulatedTimers()
         self.transcript: list[str] = []
         self.peers: dict[str, FakeTransport] = {}
-        super().__init__(parse(with_changes(changes)), decide, self.simulated_timers)
+        super().__init__(parse(with_changes(changes)), make_decision_module, self.simulated_timers)
         self.dialer = self.fake_dialer = FakeDialer(self)
         carry_out(self, self._router.start(self.simulated_timers.at))
 
