--- a/grebeproxy/policy/release.py
+++ b/grebeproxy/policy/release.py
@@ -1,6 +1,6 @@
 """Release: the order in which queued queries are sent, and when each of them may be sent."""
 
-from grebeproxy.policy.interface import Overbooked, Send, SetTerms
+from grebeproxy.policy.interface import OvercommitBehavior, Send, SetTerms
 from grebeproxy.policy.placement import SILENCE_FACTOR, Placement
 from grebeproxy.policy.records import EngineRecord, QueryRecord
 
@@ -12,7 +12,7 @@
 PROGRESS_PERIODS = 2.2  # periods of progress notes for which an attempt may be silent
 MAX_QUERIES_SCANNED = 16  # queued queries of a class to scan for one that an engine can take
 GRANT_FACTOR = 1.15  # factor on the estimated memory to grant
-PAGING_GRANT_FACTOR = 1.5  # factor on the estimated memory where an overbooked engine pages
+PAGING_GRANT_FACTOR = 1.5  # factor on the estimated memory where an overcommitted engine pages
 HIGHEST_PRIORITY = 3  # highest priority in an engine; the lowest is 0
 
 
@@ -89,9 +89,9 @@
 
     def _terms(self, query: QueryRecord) -> SetTerms:
         """Return the priority of a query in the engine, and its memory grant."""
-        overbooked = self.settings.overbooked
-        grant = query.memory * (PAGING_GRANT_FACTOR if overbooked is Overbooked.PAGE else GRANT_FACTOR)
-        if overbooked is Overbooked.SHRINK:  # Free memory is granted too, to the degree that estimates vary.
+        behavior = self.settings.overcommit_behavior
+        grant = query.memory * (PAGING_GRANT_FACTOR if behavior is OvercommitBehavior.PAGE else GRANT_FACTOR)
+        if behavior is OvercommitBehavior.SHRINK:  # Free memory is granted too, as far as estimates vary.
             scatter = 1.0 + 2 * self.memory_corrections[query.rank].spread
             grant *= max(1.0, min(scatter, 0.8 / max(self.memory_fill, 0.01)))
         if query.over_quota:
--- a/grebeproxy/policy/settings.py
+++ b/grebeproxy/policy/settings.py
@@ -35,7 +35,7 @@
     CELL = "cell"
 
 
-class Overbooked(Enum):
+class OvercommitBehavior(Enum):
     """What an engine does when it has granted more memory than it has."""
 
     WAIT = "wait"
@@ -148,7 +148,7 @@
     clients_mark_retries: bool = False
     memory_granted: bool = False
     largest_grant: float = 1.0
-    overbooked: Overbooked = Overbooked.WAIT
+    overcommit_behavior: OvercommitBehavior = OvercommitBehavior.WAIT
     priorities: bool = False
     progress_period: float | None = None
     reports_work: bool = False
--- a/grebeproxy/settings/decode.py
+++ b/grebeproxy/settings/decode.py
@@ -90,7 +90,7 @@
         clients_mark_retries=bool(fields.get("clients", {}).get("marksRetry")),
         memory_granted=bool(family.get("memoryHeeded")),
         largest_grant=family.get("largestShare") or 1.0,
-        overbooked=api.Overbooked(family.get("overbooked") or "wait"),
+        overcommit_behavior=api.OvercommitBehavior(family.get("overbooked") or "wait"),
         priorities=bool(family.get("takesPriority")),
         progress_period=seconds(family["progress"]) if family.get("progress") else None,
         reports_work=bool(family.get("bills")),
--- a/tests/streams.py
+++ b/tests/streams.py
@@ -45,14 +45,18 @@
     "wide": ({"balancers": 2}, 40, 60.0),
     "probing": ({"balancers": 9, "may_health_check": True, "progress_period": 1.0}, 12, 30.0),
     "asking": (
-        {"polls_engine_list": True, "overbooked": api.Overbooked.SHRINK, "memory_granted": True},
+        {
+            "polls_engine_list": True,
+            "overcommit_behavior": api.OvercommitBehavior.SHRINK,
+            "memory_granted": True,
+        },
         5,
         50.0,
     ),
     "rationed": (
         {
             "rules": api.Rules(0.02, 1.0, 0.3, 10.0, 2.0, 1.0, 0.2, None, BUDGET),
-            "overbooked": api.Overbooked.PAGE,
+            "overcommit_behavior": api.OvercommitBehavior.PAGE,
             "memory_granted": True,
             "may_cancel": False,
         },
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -16,7 +16,7 @@
     EngineKind,
     ListKind,
     Outcome,
-    Overbooked,
+    OvercommitBehavior,
     HealthCheck,
     HealthCheckEnded,
     Progress,
@@ -208,7 +208,9 @@
     granted: dict[float, float] = {}
     for fill in (0.1, 0.6, 2.0):
         config = make_settings(
-            memory_granted=True, overbooked=Overbooked.SHRINK, kinds=(EngineKind("medium", 8.0, 16000.0),)
+            memory_granted=True,
+            overcommit_behavior=OvercommitBehavior.SHRINK,
+            kinds=(EngineKind("medium", 8.0, 16000.0),),
         )
         harness = RouterHarness(config, engines=2)
         harness.choice.memory_corrections[1].spread = 0.5
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -11,7 +11,7 @@
 from grebeproxy.policy.interface import (
     EngineKind,
     Outcome,
-    Overbooked,
+    OvercommitBehavior,
     Progress,
     ProgressKind,
     SetTerms,
@@ -172,7 +172,7 @@
 
 
 def test_terms_set_a_priority_by_rank_and_a_grant_above_the_estimate() -> None:
-    config = make_settings(memory_granted=True, overbooked=Overbooked.PAGE)
+    config = make_settings(memory_granted=True, overcommit_behavior=OvercommitBehavior.PAGE)
     harness = RouterHarness(config)
     terms = [
         a
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -163,8 +163,8 @@
         settings.polls_engine_list,
         settings.clients_mark_retries,
     ) == (1, 2, True, True)
-    assert (settings.overbooked, settings.progress_period, settings.load_report_fields) == (
-        api.Overbooked.SHRINK,
+    assert (settings.overcommit_behavior, settings.progress_period, settings.load_report_fields) == (
+        api.OvercommitBehavior.SHRINK,
         1.0,
         ("cpu",),
     )
