--- a/grebeproxy/net/changelog.py
+++ b/grebeproxy/net/changelog.py
@@ -87,8 +87,8 @@
                     weight=weight / WEIGHT_SCALE,
                 )
             )
-        how = ListKind.FULL if kind == FULL else ListKind.CHANGES
-        return ChangeLogUpdate(seq, EngineList(how, tuple(engines), seq), addresses)
+        list_kind = ListKind.FULL if kind == FULL else ListKind.CHANGES
+        return ChangeLogUpdate(seq, EngineList(list_kind, tuple(engines), seq), addresses)
 
 
 def known_events(known: KnownEvents, clock: Clock) -> Iterator[ChangeLogUpdate]:
@@ -102,8 +102,8 @@
             addresses[entry["name"]] = host_and_port(entry["address"])
             engines.append(_known_engine(entry, clock))
         full_list = known_list.get("snapshot") or not position  # the first event holds the full list
-        how = ListKind.FULL if full_list else ListKind.CHANGES
-        yield ChangeLogUpdate(seq, EngineList(how, tuple(engines), seq), addresses)
+        list_kind = ListKind.FULL if full_list else ListKind.CHANGES
+        yield ChangeLogUpdate(seq, EngineList(list_kind, tuple(engines), seq), addresses)
 
 
 def _known_engine(entry: EngineEntry, clock: Clock) -> Engine:
