--- a/tests/test_lab_subsets.py
+++ b/tests/test_lab_subsets.py
@@ -1,4 +1,4 @@
-"""Ways to give routers subsets of the engines: their properties, and the command that compares them."""
+"""Tests of the schemes that give routers subsets of the engines, and of the command that compares them."""
 
 from __future__ import annotations
 
@@ -36,9 +36,7 @@
 
 @pytest.mark.parametrize("scheme", SCHEMES, ids=lambda scheme: scheme.name)
 @pytest.mark.parametrize("size", SIZES)
-def test_a_window_has_as_many_engines_as_it_is_to_have_and_none_twice(
-    scheme: Scheme, size: tuple[int, int, int]
-) -> None:
+def test_window_has_the_intended_size_and_no_engine_twice(scheme: Scheme, size: tuple[int, int, int]) -> None:
     fleet = fleet_of(*size)
     own = fleet.subset_sizes(traffic_patterns(len(fleet.routers), np.random.default_rng(1))["lognormal"])
     rows = scheme.windows(fleet.engines, fleet.routers, own)
@@ -47,14 +45,14 @@
         engines = [engine for engine in row if engine != NO_ENGINE]
         assert len(set(engines)) == len(engines) <= wanted
         assert set(engines) <= set(fleet.engines.number.tolist())
-        # An engine with several points may stand in a window twice; the whole list is had whole.
+        # A window may have two points of one engine, unless it is as long as the list of engines.
         if getattr(scheme, "points", 1) == 1 or wanted == len(fleet.engines):
             assert len(engines) == wanted
 
 
 @pytest.mark.parametrize("scheme", SCHEMES, ids=lambda scheme: scheme.name)
-def test_subsets_follow_from_number_count_and_list_alone(scheme: Scheme) -> None:
-    """So a restart moves nothing, and an engine that returns is had by those that had it."""
+def test_subsets_do_not_depend_on_the_order_of_the_list(scheme: Scheme) -> None:
+    """A restart of a router changes no pairs, and an engine that returns is used by the same routers."""
     fleet = fleet_of(60, 400, 3)
     shuffled = np.random.default_rng(5).permutation(400)
     engines = fleet.engines
@@ -65,7 +63,7 @@
 
 
 @pytest.mark.parametrize("scheme", CIRCLES, ids=lambda scheme: scheme.name)
-def test_only_routers_that_had_an_engine_are_touched_when_it_goes(scheme: PointCircle) -> None:
+def test_removal_of_an_engine_changes_only_the_subsets_that_held_it(scheme: PointCircle) -> None:
     fleet = fleet_of(60, 400, 3)
     lost = np.zeros(400, dtype=np.bool_)
     lost[17] = True
@@ -81,16 +79,16 @@
 
 
 @pytest.mark.parametrize("scheme", CIRCLES, ids=lambda scheme: scheme.name)
-def test_the_count_of_routers_moves_nothing_on_the_circle(scheme: PointCircle) -> None:
-    fleet = fleet_of(600, 800, 6)  # both counts are above those from which windows are wider
+def test_circle_subsets_do_not_depend_on_the_count_of_routers(scheme: PointCircle) -> None:
+    fleet = fleet_of(600, 800, 6)  # with this many routers, windows have the minimum size
     for count in (599, 540):
         fewer = engines_by_router(subset_pairs(scheme, with_routers(fleet, count)))
         whole = engines_by_router(subset_pairs(scheme, fleet))
         assert fewer == {router: engines for router, engines in whole.items() if router < count}
 
 
-def test_rank_windows_move_with_the_count_of_routers() -> None:
-    """What speaks against them: the measure of movement is able to see it."""
+def test_rank_windows_depend_on_the_count_of_routers() -> None:
+    """The measure of movement shows the drawback of rank windows: a new count of routers moves most pairs."""
     fleet = fleet_of(600, 800, 6)
     before = subset_pairs(RankWindows(), fleet)
     after = subset_pairs(RankWindows(), with_routers(fleet, 540))
@@ -109,7 +107,7 @@
 def test_sharers_and_ranks_follow_from_the_list_alone(
     scheme: PointCircle, size: tuple[int, int, int], own: int
 ) -> None:
-    """What a router works out from the positions is what the windows of all routers come to."""
+    """The sharers that a router computes from the positions are those of the windows of all routers."""
     fleet = fleet_of(*size)
     own = min(own, len(fleet.engines))
     sharers = scheme.sharers(fleet.engines, fleet.routers, own)
@@ -137,8 +135,8 @@
             assert (given[shared] == total).all()
 
 
-def test_counting_sharers_by_ones_own_size_exceeds_the_budget() -> None:
-    """The reason to divide by the base subset size alone: both are measured, and only one exceeds 1."""
+def test_counting_sharers_by_own_subset_size_exceeds_the_budget() -> None:
+    """Routers divide by the base subset size: only division by their own sizes exceeds the budget."""
     values = warm_up_budget(PointCircle(points=4), fleet_of(600, 800, 6), np.random.default_rng(1))
     assert values["cold.base_worst"] <= 1.0 < values["cold.own_lognormal_worst"]
     assert values["cold.own_lognormal_worst"] <= 1.0 + np.log(8.0)
@@ -153,7 +151,7 @@
 
 
 @pytest.mark.parametrize("pairs_of", [fleet_pairs, zone_pairs, subset_pairs])
-def test_shares_keep_each_routers_traffic_and_shifting_evens_the_load(pairs_of: object) -> None:
+def test_splits_keep_each_routers_traffic_and_rebalancing_evens_the_load(pairs_of: object) -> None:
     fleet = fleet_of(600, 800, 6)
     traffic = traffic_patterns(600, np.random.default_rng(1))["heavy"]
     assert callable(pairs_of)
@@ -165,8 +163,8 @@
     assert engine_loads(pairs, after).max() < 0.8 * engine_loads(pairs, even).max()
 
 
-def test_four_points_are_evened_better_than_one() -> None:
-    """The finding on which the choice rests, at a quarter of the target's size."""
+def test_four_points_balance_better_than_one() -> None:
+    """The choice of a scheme rests on this finding; the fleet is a quarter of the target's size."""
     fleet = fleet_of(600, 800, 6)
     one, four = (measure(PointCircle(points=points), fleet, 1) for points in (1, 4))
     for name in ("blind.load_equal_weighted", "blind.load_equal_shift_few", "zone.load_equal_shift_few"):
@@ -175,7 +173,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(BUILDERS))
-def test_one_router_comes_to_the_same_by_changes_as_from_the_whole_list(name: str) -> None:
+def test_subset_after_changes_equals_subset_from_the_whole_list(name: str) -> None:
     ids = [f"s-{number:08x}" for number in range(120)]
     build = BUILDERS[name]
     changed = build(ids[:100], 11, 40, 8)
@@ -189,7 +187,7 @@
 
 
 @pytest.mark.parametrize("points", [1, 4])
-def test_one_router_counts_the_sharers_of_an_engine(points: int) -> None:
+def test_router_counts_the_sharers_of_an_engine(points: int) -> None:
     ids = [f"s-{number:08x}" for number in range(120)]
     routers = [CircleRouter(ids, router, 40, 8, points) for router in range(40)]
     for engine in ids[:30]:
@@ -232,7 +230,7 @@
     recorded = {
         name: value
         for path in sorted((docs / "capacity").glob("subsets-*.json"))
-        if path.stem != "subsets-lists-differ"  # fewer seeds of schemes that have a record of their own
+        if path.stem != "subsets-lists-differ"  # has fewer seeds of schemes with records of their own
         for point in load_record(path).points
         if point.sizes["routers"] == 2400
         for name, value in point.values.items()
@@ -271,7 +269,7 @@
         ["--unknown"],
     ],
 )
-def test_arguments_that_cannot_be_used_end_it_with_one_line(words: list[str]) -> None:
+def test_unusable_arguments_end_the_command_with_one_line(words: list[str]) -> None:
     result = run_lab(*words)
     assert result.returncode == 2 and result.stdout == ""
     assert result.stderr.count("\n") == 1 and result.stderr.startswith("Error: ")
