--- a/grebeproxy/lab/scale/changelog_run.py
+++ b/grebeproxy/lab/scale/changelog_run.py
@@ -21,11 +21,11 @@
 from grebeproxy.units import MS_PER_SECOND
 from grebeproxy.lab.scale.usage import Usage, used_between
 
-SINGLE_CHANGES = 6  # each is measured separately
-RACKS = 80  # a rack is that part of the engines
-USABLE_MEMORY = 0.85  # of the memory limit, which a size may be expected to use
+SINGLE_CHANGES = 6  # changes of one engine, each of which is measured separately
+RACKS = 80  # One rack holds the engines divided by this number.
+USABLE_MEMORY = 0.85  # the fraction of the memory limit that a size may be expected to use
 PAUSE_BETWEEN_CHANGES_S = 0.1
-SIZE_STEP = 100  # reduced sizes are multiples of it
+SIZE_STEP = 100  # Reduced sizes are multiples of this step.
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeCost:
-    """What one event took: seconds until it was written and applied by all, and the cost per router."""
+    """What one event took: seconds until all routers applied it, seconds to write it, cost per router."""
 
     applied_s: float
     written_s: float
@@ -59,7 +59,7 @@
         if engines != most_engines
     ]
     point_sizes += [PointSize(size, most_engines) for size in sorted(options.sizes)]
-    mb_per_router_and_engine = 0.0  # memory that one router used for one engine at the size before
+    mb_per_router_and_engine = 0.0  # memory of one router for one engine, at the previous size
     for point_size in point_sizes:
         for fitting in _fitting(point_size, mb_per_router_and_engine, options, progress, outcome):
             try:
@@ -85,10 +85,10 @@
     expected_mb = point_size.routers * point_size.engines * mb_per_router_and_engine
     if expected_mb <= USABLE_MEMORY * options.memory_mb:
         return [point_size]
-    part = USABLE_MEMORY * options.memory_mb / expected_mb
+    fraction = USABLE_MEMORY * options.memory_mb / expected_mb
     reduced = [
-        PointSize(_rounded_down(point_size.routers * part), point_size.engines),
-        PointSize(point_size.routers, _rounded_down(point_size.engines * part)),
+        PointSize(_rounded_down(point_size.routers * fraction), point_size.engines),
+        PointSize(point_size.routers, _rounded_down(point_size.engines * fraction)),
     ]
     replacements = [(each.routers, each.engines) for each in reduced]
     outcome.add_note(
--- a/grebeproxy/lab/scale/changelog_server.py
+++ b/grebeproxy/lab/scale/changelog_server.py
@@ -12,7 +12,7 @@
 from grebeproxy.lab.scale.deployment import EngineRecord
 from grebeproxy.net import changelog, follower
 
-HELLO = struct.Struct(">Q")  # the last event that the router has, 0 for none
+HELLO = struct.Struct(">Q")  # sequence number of the last event that the router has, 0 for none
 HEARTBEAT_S = 0.9 * follower.FRAME_INTERVAL  # routers expect a frame each second
 BACKLOG = 4096
 FIRST_LIST_SEQ = 1
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishedEvent:
-    """One event. Times on the machine's clock: before the first write and after the last one."""
+    """One event. Its times, on the machine's clock, are before the first write and after the last write."""
 
     seq: int
     began: float
@@ -93,7 +93,7 @@
         self.write(self._log.heartbeat())
 
     def close(self) -> None:
-        """End the connection behind what is written."""
+        """Close the connection after all written data is sent."""
         self.stop_heartbeats()
         if self._transport is not None:
             self._transport.close()
@@ -110,17 +110,17 @@
     def __init__(self) -> None:
         self._engines: dict[int, EngineRecord] = {}
         self._seq = FIRST_LIST_SEQ
-        self._changes: dict[int, bytes] = {}  # frames by event
+        self._changes: dict[int, bytes] = {}  # frames by sequence number of the event
         self._subscribers: set[Subscriber] = set()
         self._server: asyncio.Server | None = None
-        self._full_list: bytes | None = None  # the frame for the current event, once it was needed
+        self._full_list: bytes | None = None  # the frame for the current event, if a router needed it
         self._bytes_sent = 0  # on connections that have ended
         self._full_lists = 0
         self._change_frames = 0
         self._heartbeat_frames = 0
 
     async def listen(self, engines: list[EngineRecord]) -> Address:
-        """Serve these engines as the first list; returns the server's address."""
+        """Begin to serve, with these engines as the first list; returns the server's address."""
         self._engines = {engine.number: engine for engine in engines}
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: Subscriber(self), LOOPBACK_HOST, 0, backlog=BACKLOG)
@@ -132,7 +132,7 @@
         if self._server is not None:
             self._server.close()
         self.disconnect_all()
-        await asyncio.sleep(0.0)  # the transports close in the next turn of the loop
+        await asyncio.sleep(0.0)  # The transports close in the next iteration of the event loop.
 
     def publish(self, engines: list[EngineRecord]) -> PublishedEvent:
         """Send new records of these engines as the next event."""
@@ -177,12 +177,12 @@
             subscriber.abort()
 
     def heartbeat(self) -> bytes:
-        """A frame without news."""
+        """A frame without changes, which shows the router that the connection is alive."""
         self._heartbeat_frames += 1
         return frame(self._seq, changelog.HEARTBEAT)
 
     def subscribe(self, subscriber: Subscriber, seq: int) -> None:
-        """Send the changes after that event, or the full list to a router that has none of them."""
+        """Send the changes after event ``seq``, or the full list if ``seq`` is 0 or changes are missing."""
         self._subscribers.add(subscriber)
         missing = range(seq + 1, self._seq + 1)
         if seq and all(number in self._changes for number in missing):
@@ -194,7 +194,7 @@
             self._full_lists += 1
 
     def unsubscribe(self, subscriber: Subscriber) -> None:
-        """Forget an ended connection; the bytes sent on it still count."""
+        """Remove an ended connection. The bytes sent on it still count."""
         if subscriber in self._subscribers:
             self._subscribers.remove(subscriber)
             self._bytes_sent += subscriber.bytes_sent
--- a/grebeproxy/lab/scale/clients.py
+++ b/grebeproxy/lab/scale/clients.py
@@ -15,10 +15,10 @@
 from grebeproxy.lab.scale.deployment import TENANT
 from grebeproxy.units import MS_PER_SECOND
 
-REQUEST = 0  # a message type of MessagePack-RPC
+REQUEST = 0  # the message type of a request in MessagePack-RPC
 REJECTED = "TryLater"  # the error of a router that sheds load
-DEADLINE_MS = 2000  # shorter than the class's, as clients' timeouts often are
-LAST_ANSWERS_S = DEADLINE_MS / MS_PER_SECOND + 0.5
+DEADLINE_MS = 2000  # shorter than the deadline of the query class, as clients' timeouts often are
+MAX_ANSWER_WAIT_S = DEADLINE_MS / MS_PER_SECOND + 0.5
 POLL_INTERVAL_S = 0.05
 STATEMENT = b"SELECT n FROM ops_%d.t"
 TABLE_GROUPS = 50
@@ -28,7 +28,8 @@
 class ClientTotals:
     """How the clients of one router were served.
 
-    Latencies in milliseconds, of the answered statements; the deadline if there is none.
+    Latencies are in milliseconds and cover the answered statements. If none was answered, they are the
+    deadline.
     """
 
     sent: int
@@ -47,7 +48,7 @@
     def __init__(self) -> None:
         self._unpacker = msgpack.Unpacker()
         self._transport: asyncio.Transport | None = None
-        self._sent_at: dict[int, float] = {}  # of the statements that are not answered yet
+        self._sent_at: dict[int, float] = {}  # by message number, of the statements that are not answered yet
         self._last_number = 0
         self.latencies_s: list[float] = []
         self.sent = 0
@@ -60,7 +61,7 @@
         return self._transport is not None and bool(self._sent_at)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Be ready to send."""
+        """Keep the transport, on which statements are sent."""
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -122,7 +123,7 @@
         return [_totals(connections) for connections in self._connections]
 
     async def _connect(self) -> None:
-        """Open new connections: routers close those that were idle for a while."""
+        """Replace all connections by new ones, since routers close connections that were idle for a while."""
         await self.close()
         self._connections = [await self._connect_to(router) for router in self._routers]
 
@@ -138,7 +139,7 @@
         """Cut all connections."""
         for connection in self._all_connections():
             connection.close()
-        await asyncio.sleep(0.0)  # the transports close in the next turn of the loop
+        await asyncio.sleep(0.0)  # The transports close in the next iteration of the event loop.
 
     def _all_connections(self) -> list[ClientConnection]:
         return [connection for connections in self._connections for connection in connections]
@@ -152,7 +153,7 @@
             due_at += self._rng.expovariate(rate)
 
     async def _wait_for_answers(self) -> None:
-        deadline = time.monotonic() + LAST_ANSWERS_S
+        deadline = time.monotonic() + MAX_ANSWER_WAIT_S
         while time.monotonic() < deadline and self._is_waiting():
             await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -178,7 +179,7 @@
     )
 
 
-def _quantile(ordered: list[float], part: float) -> float:
+def _quantile(ordered: list[float], fraction: float) -> float:
     if not ordered:
         return DEADLINE_MS / MS_PER_SECOND
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
--- a/grebeproxy/lab/scale/clock.py
+++ b/grebeproxy/lab/scale/clock.py
@@ -8,7 +8,7 @@
 from grebeproxy.units import MS_PER_SECOND
 
 MAX_OFFSET_S = 1000.0
-MAX_DRIFT = 0.005  # relative; two clocks drift apart by twice this, which is half of what leases allow
+MAX_DRIFT = 0.005  # a ratio; two clocks drift apart by up to twice this, half of what leases tolerate
 
 
 class SkewedClock:
@@ -24,7 +24,7 @@
         return self._offset + self._rate * time.monotonic()
 
     def delay_until(self, router_time: float) -> float:
-        """Seconds of the machine's clock until the router's time is reached; negative once it has passed."""
+        """Seconds of the machine's clock until ``now`` is ``router_time``; negative once it has passed."""
         return (router_time - self.now()) / self._rate
 
     def from_unix_ms(self, unix_ms: int) -> float:
--- a/grebeproxy/lab/scale/command.py
+++ b/grebeproxy/lab/scale/command.py
@@ -98,7 +98,7 @@
 
 
 def _numbers(option: str, text: str, largest: int) -> tuple[int, ...]:
-    """A list of distinct whole numbers from 1 on, with commas between. Raises ``OneLineUsageError``."""
+    """Parse distinct whole numbers from 1 to ``largest``, comma-separated. Raises ``OneLineUsageError``."""
     parsed = []
     for item in text.split(","):
         if not item.strip().isdecimal() or not 1 <= int(item) <= largest:
@@ -110,7 +110,7 @@
 
 
 def _with_arguments(command: Callable[[Arguments], None]) -> Callable[..., None]:
-    """Pass on what click hands over as keyword arguments, one for each option, as one ``Arguments``."""
+    """Wrap a command so that it takes click's keyword arguments, one for each option, as ``Arguments``."""
 
     @functools.wraps(command)
     def call(**parameters: Any) -> None:
@@ -152,7 +152,7 @@
         click.echo(f"scale: {error}", err=True)
         raise SystemExit(FAILED_STATUS) from None
     except BaseException:
-        outcome.notes.append("interrupted")  # the record keeps what was measured until then
+        outcome.notes.append("interrupted")  # The record keeps the points measured until then.
         raise
     finally:
         _report(arguments, outcome)
@@ -176,5 +176,5 @@
 
 
 def _terminate(number: int, frame: FrameType | None) -> None:
-    """End on SIGTERM by an exception, so that the child processes are ended as well."""
+    """Raise an exception on SIGTERM, so that the child processes are ended as well."""
     raise SystemExit(TERMINATED_STATUS)
--- a/grebeproxy/lab/scale/deployment.py
+++ b/grebeproxy/lab/scale/deployment.py
@@ -19,7 +19,7 @@
 TENANT = "city"
 UP, DRAINING, GONE = range(3)  # states of an engine record on the wire
 FULL_WEIGHT = 1000  # a weight of 1 on the wire
-SAME_CELL, START_UNKNOWN = 0, 0  # in an engine record on the wire
+SAME_CELL, START_UNKNOWN = 0, 0  # values of fields of an engine record on the wire
 
 _SETTINGS: SettingsDocument = {
     "balancers": 1,
@@ -120,7 +120,7 @@
     number: int
     address: Address
     state: int = UP
-    started_ms: int = START_UNKNOWN  # Unix time of a late start
+    started_ms: int = START_UNKNOWN  # Unix time at which the engine started, if known
 
     def pack(self) -> bytes:
         """The record on the wire; zones and kinds alternate by the engine's number."""
@@ -134,7 +134,7 @@
 
 
 def settings_document(routers: int, index: int) -> SettingsDocument:
-    """The settings of router ``index`` of that many, as its configuration file holds them."""
+    """The settings of router ``index`` of ``routers``, as its configuration file holds them."""
     document = copy.deepcopy(_SETTINGS)
     document["balancers"] = routers
     document["me"] = index
@@ -143,5 +143,5 @@
 
 
 def settings(routers: int, index: int) -> Settings:
-    """The same settings as the decision module takes them."""
+    """The settings of router ``index`` of ``routers``, parsed for the decision module."""
     return settings_from(settings_document(routers, index))
--- a/grebeproxy/lab/scale/duty_target.py
+++ b/grebeproxy/lab/scale/duty_target.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyTotals:
-    """Reports until now, and the lease holders in the order of their first accepted report."""
+    """Numbers of reports until now, and the lease holders in the order of their first accepted report."""
 
     accepted: int
     rejected: int
@@ -41,7 +41,7 @@
             self._server.close()
 
     def totals(self) -> DutyTotals:
-        """What was reported until now."""
+        """The reports until now."""
         return DutyTotals(self._accepted, self._rejected, tuple(self._lease_holders))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/grebeproxy/lab/scale/fleet.py
+++ b/grebeproxy/lab/scale/fleet.py
@@ -16,9 +16,9 @@
 from grebeproxy.lab.scale.run import Options, SizeNotReachedError
 from grebeproxy.lab.scale.usage import Snapshot, Usage, used_between
 
-MAX_PROCESSES = 6  # of hollow routers: the rest of eight cores is for the servers and the parent
+MAX_PROCESSES = 6  # of hollow routers; of eight cores, two remain for the servers and the parent
 RESERVED_CORES = 2
-MIN_ROUTERS_PER_PROCESS = 25  # fewer do not justify the start of a further process
+MIN_ROUTERS_PER_PROCESS = 25  # Fewer routers do not justify a further process.
 SEEDS_PER_ROUTER = 3
 POLL_INTERVAL_S = 0.1
 
@@ -51,7 +51,7 @@
         return addresses
 
     def assign_seeds(self, addresses: list[Address], others: list[Address] | None = None) -> None:
-        """Give each router some random members to join by."""
+        """Give each router some random members as its seeds."""
         rng = Random(self._options.seed)
         known = addresses + (others or [])
         count = min(SEEDS_PER_ROUTER, len(known))
@@ -69,7 +69,7 @@
         return sum(snapshot.resident_bytes for snapshot in self.snapshots())
 
     def memory_kb_per_router(self, size: int) -> float:
-        """By how much each of ``size`` routers has made the processes grow, in KiB."""
+        """The growth of the processes' memory since ``prepare``, divided by ``size`` routers, in KiB."""
         return (self.resident_bytes() - self._empty_bytes) / size / KIBIBYTE
 
     def snapshots(self) -> list[Snapshot]:
@@ -78,7 +78,7 @@
         return snapshots
 
     def measure(self, seconds: float) -> Usage:
-        """What the routers use in that time from now."""
+        """Wait for that time; returns what the routers used meanwhile."""
         before = self.snapshots()
         time.sleep(seconds)
         return used_between(before, self.snapshots())
@@ -86,7 +86,7 @@
     # --- state of the routers
 
     def applied_at(self, seq: int) -> list[float]:
-        """When each router that has applied that event did so, on the machine's clock."""
+        """The times, on the machine's clock, at which the routers that have applied the event did so."""
         times: list[float] = self._gather("applied", seq)
         return times
 
@@ -107,7 +107,8 @@
     def learned_since(self, names: list[str], since: float, events: tuple[str, ...]) -> list[float | None]:
         """When each running router had learned of one of the events for all named members.
 
-        Only what was learned after ``since`` counts; ``None`` stands for a router that has not yet.
+        Events learned before ``since`` do not count. ``None`` stands for a router that has not learned of all
+        of them yet.
         """
         times: list[float | None] = self._gather("learned_since", names, since, events)
         return times
@@ -118,7 +119,7 @@
         return counts
 
     def _gather(self, method: str, *arguments: object) -> list[Any]:
-        return [item for part in call_all(self.processes, method, *arguments) for item in part]
+        return [item for items in call_all(self.processes, method, *arguments) for item in items]
 
     # --- limits
 
@@ -131,8 +132,8 @@
     def wait_until(self, condition: Callable[[], bool], description: str) -> None:
         """Poll until the condition holds.
 
-        Raises ``SizeNotReachedError`` if that takes longer than the option ``wait_s``, or needs too much
-        memory.
+        Raises ``SizeNotReachedError`` if that takes longer than the option ``wait_s``, or if the processes
+        use more memory than allowed.
         """
         began = time.monotonic()
         while not condition():
--- a/grebeproxy/lab/scale/fleet_run.py
+++ b/grebeproxy/lab/scale/fleet_run.py
@@ -26,10 +26,11 @@
 
 REAL_ROUTERS = 3
 ENGINE_PROCESSES = 2
-CONNECTIONS_PER_ROUTER = 5  # of clients; a real router closes those that are idle for 2 s
+CONNECTIONS_PER_ROUTER = 5  # of clients; a real router closes connections that are idle for 2 s
 RATE = 10.0  # statements a second to each real router
-WARM_UP_S = 3.0  # of statements that are not counted, while connections to engines are made
-# By how much the clients' 99th percentile may grow beside the hollow routers before a note says so.
+WARM_UP_S = 3.0  # Statements in this time are not counted, since the routers still connect to engines.
+# A note is added if the 99th percentile of the clients' latency beside the hollow routers exceeds this
+# factor times the percentile without them, plus this increase.
 MAX_P99_FACTOR, MAX_P99_INCREASE_MS = 1.5, 5.0
 
 
@@ -47,7 +48,7 @@
 
 
 def run_fleet(options: Options, progress: Progress, outcome: Outcome) -> None:
-    """Measure each size with the most engines; the first that this machine cannot run ends the run."""
+    """Measure each size with the most engines. The first size that this machine cannot run ends the run."""
     for size in sorted(options.sizes):
         try:
             point = measure_fleet(size, max(options.engines), options, progress)
@@ -106,7 +107,7 @@
     real_routers = workers.start(RealRouters)
     duty = workers.start(DutyTarget)
     clients = workers.start(Clients, listen, CONNECTIONS_PER_ROUTER, options.seed)
-    engine_addresses = [address for part in call_all(engine_workers, "listen") for address in part]
+    engine_addresses = [address for addresses in call_all(engine_workers, "listen") for address in addresses]
     records = [EngineRecord(number, address) for number, address in enumerate(engine_addresses, 1)]
     changelog: Address = log.call("listen", records)
     duty_report = duty.call("listen") if options.duty else None
@@ -148,7 +149,7 @@
 
 
 def _serve_clients(name: str, testbed: Testbed, options: Options) -> dict[str, float]:
-    """Serve the clients of the real routers for a while: their totals, and what the real routers used."""
+    """Serve the clients of the real routers for a while; returns their totals and the routers' usage."""
     before: list[RealRouterTotals] = testbed.real_routers.call("totals")
     clients: list[ClientTotals] = testbed.clients.call("run", options.quiet_s, RATE)
     after: list[RealRouterTotals] = testbed.real_routers.call("totals")
--- a/grebeproxy/lab/scale/hollow_engines.py
+++ b/grebeproxy/lab/scale/hollow_engines.py
@@ -22,7 +22,7 @@
 class EngineTotals:
     """What the engines of one process have done since their start. CPU in seconds."""
 
-    connections: int  # that are open now
+    connections: int  # open now
     requests: int
     engines_used: int  # engines with at least one request
     cpu_s: float
@@ -48,7 +48,7 @@
             self._engines.connections.discard(self._transport)
 
     def data_received(self, data: bytes) -> None:
-        """Answer each command at once; a cancellation needs no answer, as its request has one already."""
+        """Answer each command at once. A cancellation needs no answer: its request is already answered."""
         self._reader.feed(data)
         answers: list[bytes] = []
         while (command := self._reader.gets()) is not False:
@@ -90,14 +90,14 @@
             server.close()
         for transport in list(self.connections):
             transport.abort()
-        await asyncio.sleep(0.0)  # the transports close in the next turn of the loop
+        await asyncio.sleep(0.0)  # The transports close in the next iteration of the event loop.
 
     def count_request(self, number: int) -> None:
         """Count one request to that engine."""
         self._requests[number] += 1
 
     def totals(self) -> EngineTotals:
-        """What was done until now."""
+        """What the engines have done until now."""
         return EngineTotals(
             len(self.connections), self._requests.total(), len(self._requests), time.process_time()
         )
--- a/grebeproxy/lab/scale/hollow_router.py
+++ b/grebeproxy/lab/scale/hollow_router.py
@@ -17,13 +17,13 @@
 
 
 class HollowRouter:
-    """Follows the change log and takes part in membership, as far as the plan has them."""
+    """A router that follows the change log and takes part in membership, each only if the plan has it."""
 
     def __init__(self, number: int, plan: RoutersPlan) -> None:
         self.name = router_name(number)
         self.meter = Meter()
-        self.watcher: Watcher | None = None  # while it runs and there is a change log
-        self.member: Member | None = None  # while it runs and there is membership
+        self.watcher: Watcher | None = None  # only while the router runs, and if the plan has a change log
+        self.member: Member | None = None  # only while the router runs, and if the plan has membership
         self.address: Address = (loopback_host(HOST_GROUP, number), 0)
         self.advertise: Address | None = None
         self.seeds: tuple[Address, ...] = ()
@@ -47,11 +47,11 @@
             await self._join(self._plan.membership, seed, clock)
 
     def kill(self) -> None:
-        """Stop the router at once, as a process that is killed: nobody is notified."""
+        """Stop the router at once, as if its process were killed: it notifies no other member."""
         if self.watcher is not None:
             self.watcher.close()
         if self.member is not None:
-            self.member.close()  # closes the socket, too
+            self.member.close()  # This closes the socket, too.
         elif self._socket is not None:
             self._socket.close()
         self.watcher = None
@@ -67,7 +67,7 @@
         self.member.start()
 
     def _bind(self) -> socket.socket:
-        """Bind the address at which the other members reach it; the same one after a restart."""
+        """Bind the address at which the other members reach the router. A restart binds the same address."""
         self._socket = bound_socket(self.address)
         self.address = self._socket.getsockname()
         return self._socket
--- a/grebeproxy/lab/scale/hollow_routers.py
+++ b/grebeproxy/lab/scale/hollow_routers.py
@@ -16,12 +16,12 @@
 from grebeproxy.lab.scale.usage import Snapshot
 from grebeproxy.lab.scale.watcher import Watcher
 
-SEED_STEP = 1_000_003  # keeps the draws of the processes apart
+SEED_STEP = 1_000_003  # gives each process its own sequence of random numbers
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipView:
-    """What one router knows of the others: the names of the members, and the fleet's condition."""
+    """What one router knows of the fleet: the names of the members, and the condition such as ``quorate``."""
 
     members: tuple[str, ...]
     condition: str
@@ -40,7 +40,7 @@
         return [router.address for router in self._routers]
 
     def configure(self, seeds: list[tuple[Address, ...]], advertise: list[Address] | None = None) -> None:
-        """Set for each router the members to join by, and the address to advertise if not its own."""
+        """Set each router's seed members, and the address that it advertises if that is not its own."""
         for position, router in enumerate(self._routers):
             router.seeds = seeds[position]
             router.advertise = advertise[position] if advertise is not None else None
@@ -59,17 +59,17 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for router in self._routers:
             router.kill()
-        await asyncio.sleep(0.0)  # the sockets close in the next turn of the loop
+        await asyncio.sleep(0.0)  # The sockets close in the next iteration of the event loop.
 
     def snapshot(self) -> Snapshot:
-        """Totals until now."""
+        """What the routers and this process have used until now."""
         counters = [router.meter.counters + Counters() for router in self._routers]
         return Snapshot(time.monotonic(), time.process_time(), resident_bytes(os.getpid()), counters)
 
     # --- the change log
 
     def applied(self, seq: int) -> list[float]:
-        """When each router that has applied the event did so, on the machine's clock."""
+        """The times, on the machine's clock, at which the routers that have applied the event did so."""
         return [watcher.applied_at[seq] for watcher in self._watchers() if seq in watcher.applied_at]
 
     def engines_known(self) -> list[int]:
@@ -77,7 +77,7 @@
         return [len(watcher.choice.engine_list) for watcher in self._watchers()]
 
     def lost_connections(self) -> int:
-        """How many connections to the change log were given up."""
+        """How many connections to the change log the routers have given up."""
         return sum(watcher.lost_connections for watcher in self._watchers())
 
     def _watchers(self) -> list[Watcher]:
@@ -98,9 +98,10 @@
         return views
 
     def learned_since(self, names: list[str], since: float, events: tuple[str, ...]) -> list[float | None]:
-        """For each running router, when it had learned of one of the events for the last of these members.
+        """For each running router, when it had learned of one of the events for every named member.
 
-        Only what was learned after ``since`` counts, on the machine's clock; ``None`` means not yet.
+        Times are on the machine's clock. Events learned before ``since`` do not count. ``None`` stands for a
+        router that has not learned of all of them yet.
         """
         return [_learned_of_all(member, names, since, events) for member in self._members()]
 
@@ -109,17 +110,17 @@
         return [len(member.node.store.records) for member in self._members()]
 
     def kill(self, names: list[str]) -> float:
-        """Kill some routers; returns when, on the machine's clock."""
+        """Kill the named routers of this process; returns the time on the machine's clock."""
         for router in self._named(names):
             router.kill()
         return time.monotonic()
 
     async def restart(self, names: list[str]) -> float:
-        """Kill some routers and start them again at once; returns when that began."""
+        """Kill the named routers and start them again at once; returns the time at which this began."""
         began = time.monotonic()
         for router in self._named(names):
             router.kill()
-        # The sockets close in the next turn of the loop; only then their addresses can be bound again.
+        # The sockets close in the next iteration of the event loop; until then, their addresses are in use.
         await asyncio.sleep(0.0)
         await asyncio.sleep(0.0)
         for router in self._named(names):
--- a/grebeproxy/lab/scale/member.py
+++ b/grebeproxy/lab/scale/member.py
@@ -17,13 +17,13 @@
 from grebeproxy.peers import Node, PeersConfig, node
 from grebeproxy.peers.duty_tasks import DutyTasks
 
-MIN_DELAY_S = 0.001  # of a timer, as in the product
+MIN_DELAY_S = 0.001  # the shortest delay of a timer, as in the product
 INSTANCE_BITS = 56
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """What was last learned of a member, such as ``joined``, and when on the machine's clock."""
+    """The last event learned of a member, such as ``joined``, and its time on the machine's clock."""
 
     learned_at: float
     event: str
@@ -37,7 +37,7 @@
         instance = rng.getrandbits(INSTANCE_BITS)
         self.name = config.member.name
         self.node = Node(config, instance, rng, clock.now())
-        self.changes: dict[str, MemberChange] = {}  # by member
+        self.changes: dict[str, MemberChange] = {}  # by the member's name
         self._clock = clock
         self._meter = meter
         self._codec = PacketCodec(config.key, instance, config.settings_digest)
@@ -47,7 +47,7 @@
         self._duty_tasks = DutyTasks(config.duties, self._token, self._report_rejected, _log_nothing)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Be ready to send."""
+        """Keep the transport, on which packets are sent."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     async def open(self, bound: socket.socket) -> None:
@@ -60,7 +60,7 @@
             self._carry_out(self.node.start(self._clock.now()))
 
     def close(self) -> None:
-        """Stop at once, as a process that is killed: nobody is notified."""
+        """Stop at once, as if the process were killed: no other member is notified."""
         self._duty_tasks.stop_all()
         if self._timer is not None:
             self._timer.cancel()
@@ -69,7 +69,7 @@
             self._transport = None
 
     def datagram_received(self, data: bytes, addr: tuple[str | object, int]) -> None:
-        """Verify a packet and pass its payload to the node; packets that fail are dropped."""
+        """Verify a packet and pass its payload to the node. A packet that fails verification is dropped."""
         self._meter.received(len(data))
         with self._meter:
             try:
@@ -79,7 +79,7 @@
             self._carry_out(self.node.step(self._clock.now(), [node.PayloadReceived(payload)]))
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore an unreachable member: the node notices by the missing answer to its ping."""
+        """Ignore the error for an unreachable member: the node notices that its ping is not answered."""
 
     def _carry_out(self, effects: list[node.Effect]) -> None:
         for effect in effects:
@@ -126,11 +126,11 @@
 
 
 def _log_nothing(event: str, **fields: object) -> None:
-    """A hollow router writes no log: a report that fails is followed by the next one."""
+    """Write nothing: a hollow router has no log, and a failed report is followed by the next one."""
 
 
 def bound_socket(address: Address) -> socket.socket:
-    """A non-blocking datagram socket bound to an address; port 0 takes any. Raises ``OSError``."""
+    """A non-blocking datagram socket bound to an address; port 0 binds any free port. Raises ``OSError``."""
     created = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
         created.setblocking(False)
--- a/grebeproxy/lab/scale/membership_run.py
+++ b/grebeproxy/lab/scale/membership_run.py
@@ -1,4 +1,4 @@
-"""The run ``membership``: its cost for each router, and how soon all routers learn of a change."""
+"""The run ``membership``: the protocol's cost per router, and how soon all routers learn of a change."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from grebeproxy.units import MS_PER_SECOND
 from grebeproxy.lab.scale.usage import Usage, used_between
 
-# Events that a router logs of another member.
+# Events that a router logs about another member.
 FAILED_EVENTS = ("failed", "left")
 RETURNED_EVENTS = ("joined", "restarted")
-RESTARTED_PART = 10  # one in ten routers restarts at once
-STARTS_PER_SECOND = 40.0  # a fleet does not start all its routers at the same moment either
-MAX_LATENESS = 0.1  # of a period, for the mean delay of timers; beyond it the machine is measured
-SETTLING_PERIODS = 12.0  # until the gossip about the joins has ended
+RESTARTED_PART = 10  # One in this many routers restarts, all at the same time.
+STARTS_PER_SECOND = 40.0  # A real fleet does not start all its routers at the same moment either.
+MAX_LATENESS = 0.1  # in periods, mean of all timers; beyond it, the run measures the machine
+SETTLING_PERIODS = 12.0  # The gossip about the joins ends within this time.
 
 
 def run_membership(options: Options, progress: Progress, outcome: Outcome) -> None:
-    """Measure each size; the first that this machine cannot run ends the run."""
+    """Measure each size. The first size that this machine cannot run ends the run."""
     for size in sorted(options.sizes):
         try:
             outcome.points.append(measure_membership(size, options, progress))
@@ -142,7 +142,7 @@
 
 
 def _restart(fleet: Fleet, size: int) -> dict[str, float]:
-    """Restart a tenth of the routers at once, as after a crash, and measure until all know."""
+    """Restart a tenth of the routers at once, as after a crash, and measure until all routers know of it."""
     names = [router_name(number) for number in range(0, size, RESTARTED_PART)]
     before = fleet.snapshots()
     began: float = min(call_all(fleet.processes, "restart", names))
--- a/grebeproxy/lab/scale/meter.py
+++ b/grebeproxy/lab/scale/meter.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class Counters:
-    """Totals since the start. CPU is thread time in seconds; bytes are without UDP and TCP headers."""
+    """Totals since the start. CPU is thread time in seconds; bytes exclude UDP and TCP headers."""
 
     cpu_s: float = 0.0
     packets_sent: int = 0
@@ -50,7 +50,7 @@
 
 
 class Meter:
-    """Counts for one router. ``with meter:`` around a step adds its thread time; it cannot be nested."""
+    """The counters of one router. ``with meter:`` adds a step's thread time, and must not be nested."""
 
     __slots__ = ("_began", "counters")
 
--- a/grebeproxy/lab/scale/plans.py
+++ b/grebeproxy/lab/scale/plans.py
@@ -12,7 +12,7 @@
 KEY = b"the key of the lab's scale runs"  # authenticates the membership packets
 DUTY = "count"
 DUTY_INTERVAL_S = 1.0
-PROBE_TIMEOUT = 0.3  # of a membership period
+PROBE_TIMEOUT_PERIODS = 0.3  # in membership periods
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
         self, name: str, listen: Address, advertise: Address, seeds: tuple[Address, ...]
     ) -> PeersConfig:
         """The configuration of one router."""
-        timeout = PROBE_TIMEOUT * self.period_s
+        timeout = PROBE_TIMEOUT_PERIODS * self.period_s
         member = Config(name, advertise, self.fleet, seeds, self.period_s, timeout, settle=self.settle_s)
         duties = (Duty(DUTY, self.duty_report, DUTY_INTERVAL_S),) if self.duty_report is not None else ()
         return PeersConfig(listen, member, KEY, self.lease_s, duties)
--- a/grebeproxy/lab/scale/processes.py
+++ b/grebeproxy/lab/scale/processes.py
@@ -21,7 +21,7 @@
 from grebeproxy.errors import GrebeproxyError
 from grebeproxy.lab.scale.meter import resident_bytes
 
-GC_THRESHOLDS = (20_000, 20, 50)  # as in the product
+GC_THRESHOLDS = (20_000, 20, 50)  # the thresholds that the product sets
 CALL_TIMEOUT_S = 120.0
 END_TIMEOUT_S = 10.0
 
@@ -70,7 +70,7 @@
             raise WorkerError(f"{self._name}: {error}") from None
 
     def receive(self, timeout_s: float = CALL_TIMEOUT_S) -> Any:
-        """Wait for the result of the call that was begun. Raises ``WorkerError``."""
+        """Wait for the result of the call that ``send`` began. Raises ``WorkerError``."""
         try:
             if not self._connection.poll(timeout_s):
                 raise WorkerError(f"{self._name}: no answer within {timeout_s:g} s")
@@ -87,7 +87,7 @@
         return self.receive(timeout_s)
 
     def disconnect(self) -> None:
-        """Close the connection, whereupon the child ends."""
+        """Close the connection, which makes the child end."""
         self._connection.close()
 
     def end(self) -> None:
@@ -106,7 +106,7 @@
         self._workers: list[Worker] = []
 
     def __enter__(self) -> Self:
-        """Begin without children."""
+        """Enter the context; no child is started yet."""
         return self
 
     def __exit__(
@@ -177,6 +177,6 @@
         result = getattr(instance, request.method)(*request.arguments)
         if inspect.isawaitable(result):
             result = await result
-    except Exception as error:  # a process edge: reported to the parent, which ends the run
+    except Exception as error:  # Any failure is reported to the parent, which ends the run.
         return Reply(failure=f"{request.method}: {type(error).__name__}: {error}")
     return Reply(result)
--- a/grebeproxy/lab/scale/real_routers.py
+++ b/grebeproxy/lab/scale/real_routers.py
@@ -29,7 +29,7 @@
 
 
 class RouterStartError(GrebeproxyError):
-    """A real router does not serve in time; the text ends with the last lines of its log."""
+    """A real router did not accept clients in time. The text ends with the last characters of its log."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -146,7 +146,7 @@
         return (self._folder / "log").read_text()
 
     def view(self) -> LoggedView:
-        """The membership that it has logged last."""
+        """The membership that the router has logged last."""
         lines = (self._folder / "out").read_text().splitlines()
         seen = [line for line in map(orjson.loads, lines) if line["event"] == "peers.view.changed"]
         if not seen:
@@ -154,18 +154,18 @@
         return LoggedView(seen[-1]["members"], seen[-1]["count"], seen[-1]["condition"])
 
     def totals(self) -> RealRouterTotals:
-        """What it has used until now."""
+        """What the router has used until now."""
         is_running = self._process.poll() is None
         return RealRouterTotals(
             time.monotonic(), process_cpu_s(self.pid), resident_bytes(self.pid), is_running
         )
 
     def terminate(self) -> None:
-        """Ask it to end."""
+        """Send SIGTERM to the router."""
         self._process.terminate()
 
     def wait(self) -> None:
-        """Wait until it has ended, and kill it if that takes too long."""
+        """Wait until the router has ended, and kill it if that takes too long."""
         try:
             self._process.wait(END_TIMEOUT_S)
         except subprocess.TimeoutExpired:
--- a/grebeproxy/lab/scale/run.py
+++ b/grebeproxy/lab/scale/run.py
@@ -23,7 +23,7 @@
     engines: tuple[int, ...]
     seed: int = 1
     quiet_s: float = 10.0  # length of each measurement without changes
-    wait_s: float = 90.0  # a size ends once a state has not been reached for this long
+    wait_s: float = 90.0  # A size ends if a state that it waits for takes longer than this.
     memory_mb: int = 5000  # of all processes together
     period_s: float = 0.5  # of the membership protocol
     duty: bool = True
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """The points measured until now, and a note for each size that was skipped or cut short."""
+    """The points measured until now, with a note for each size that was skipped or cut short."""
 
     points: list[Point] = field(default_factory=list)
     notes: list[str] = field(default_factory=list)
--- a/grebeproxy/lab/scale/table.py
+++ b/grebeproxy/lab/scale/table.py
@@ -6,7 +6,7 @@
 
 from grebeproxy.lab.record import Point
 
-MAX_WHOLE_NUMBER = 1e15  # larger values are shown with four significant digits, as fractions are
+MAX_WHOLE_NUMBER = 1e15  # Larger values and fractions are shown with four significant digits.
 
 
 def table(points: Sequence[Point]) -> str:
--- a/grebeproxy/lab/scale/watcher.py
+++ b/grebeproxy/lab/scale/watcher.py
@@ -1,4 +1,4 @@
-"""The change log part of a hollow router: the product's codec, follower and decision module."""
+"""The change log client of a hollow router: the product's codec, follower and decision module."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         self._watcher.opened(self, len(hello))
 
     def data_received(self, data: bytes) -> None:
-        """Pass on the bytes; a frame may arrive in several pieces."""
+        """Pass the bytes to the watcher. A frame may arrive in several pieces."""
         self._watcher.received(self, data)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -53,8 +53,8 @@
         self.settings = settings
         self.clock = clock
         self.choice = Choice(settings, clock.now(), seed)
-        self.applied_at: dict[int, float] = {}  # by event, on the machine's clock
-        # Kept as the product's router keeps them, so that memory and CPU time are comparable.
+        self.applied_at: dict[int, float] = {}  # by sequence number of the event, on the machine's clock
+        # Addresses are stored as in the product's router, so that memory and CPU time are comparable.
         self.addresses: dict[str, Address] = {}
         self.lost_connections = 0
         self._meter = meter
@@ -65,11 +65,11 @@
         self._closed = False
 
     def start(self) -> None:
-        """Connect and follow."""
+        """Connect to the change log and follow it."""
         self._dial(self._follower.dials)
 
     def close(self) -> None:
-        """Stop at once, as a process that is killed."""
+        """Stop at once, as if the process were killed."""
         self._closed = True
         for timer in self._timers:
             timer.cancel()
@@ -84,7 +84,7 @@
             connection.transport.abort()
 
     def _dial(self, dials: int) -> None:
-        """Connect, unless another connection was begun since this was scheduled."""
+        """Connect, unless another connection was begun since this call was scheduled."""
         if self._closed or dials != self._follower.dials:
             return
         self._disconnect()
@@ -101,17 +101,18 @@
             self.lost(connection)
 
     def _silence_ends_at(self) -> float:
-        """When the connection is given up unless something arrives, on the router's clock."""
+        """The time on the router's clock at which a connection without new data is given up."""
         return self._follower.silence_deadline(self.settings.rules.drain_grace)
 
     def _schedule(self, router_time: float, call: Callable[[int], None]) -> None:
-        """Call with the number of the current dial, so that the call can tell if it is outdated."""
+        """Schedule ``call`` with the number of the current dial, which shows it whether it is outdated."""
         loop = asyncio.get_running_loop()
         dials = self._follower.dials
 
         def fire() -> None:
-            # As in the product's runtime, data that has arrived meanwhile is read before the timer acts. This
-            # process is shared by many routers, and often later than the change log's silence allows.
+            # As in the product's runtime, data that has arrived meanwhile is read before the timer acts. Many
+            # routers share this process, so its timers often fire later than the change log's silence limit
+            # although data is waiting.
             self._timers.discard(timer)
             loop.call_soon(loop.call_soon, call, dials)
 
@@ -131,13 +132,13 @@
         self._dial(dials)
 
     def opened(self, connection: LogConnection, hello_bytes: int) -> None:
-        """Note that the connection is established and its hello sent."""
+        """Record that the connection is established and its hello is sent."""
         if connection is self._connection:
             self._meter.sent(hello_bytes)
             self._follower.opened(self.clock.now())
 
     def received(self, connection: LogConnection, data: bytes) -> None:
-        """Decode what arrived and apply new events; the connection ends on a protocol error."""
+        """Decode the received bytes and apply new events. A protocol error ends the connection."""
         if connection is not self._connection or self._closed or not self._follower.open:
             return
         self._meter.received(len(data))
